--- a/ashpond/application.py
+++ b/ashpond/application.py
@@ -28,7 +28,7 @@
 from ashpond.clients.platform import PlatformClient
 from ashpond.controllers.admission import AdmissionController
 from ashpond.controllers.burn import BurnController
-from ashpond.controllers.callends import CallEnds
+from ashpond.controllers.callquarantine import CallQuarantine
 from ashpond.controllers.claims import ClaimsController
 from ashpond.controllers.configuration import ConfigurationController
 from ashpond.controllers.engines import EnginesController
@@ -76,7 +76,7 @@
         self.engines = EnginesController(
             settings, self.configuration, self.members, self.metrics
         )
-        self.ends = CallEnds(settings, self.engines, self.members, self.metrics)
+        self.ends = CallQuarantine(settings, self.engines, self.members, self.metrics)
         self.admission = AdmissionController(
             self.configuration,
             self.members,
--- a/ashpond/controllers/__init__.py
+++ b/ashpond/controllers/__init__.py
@@ -7,8 +7,9 @@
 - ``limits``: the teams' request rates.
 - ``claims``: attempts of requests that may run at most once.
 - ``rollout``: leases on services, and the orders given under them.
-- ``callends``: calls that are suspected of ending servers (``quarantine`` for routed
-  ones), with ``serverends``: which servers have ended, and what was in flight there.
+- ``callquarantine``: calls that are suspected of crashing servers (``quarantine`` for
+  routed ones), with ``crashdetection``: which servers crashed, and what was in flight
+  there.
 - ``burn``: counts of good and bad requests for the burn report.
 """
 
--- a/ashpond/controllers/callends.py
+++ b/ashpond/controllers/callquarantine.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-__all__ = ["CallEnds"]
+__all__ = ["CallQuarantine"]
 
 from collections import Counter
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -17,7 +17,7 @@
 
 from ashpond.bounds import Amount
 from ashpond.clients.channels import Reach, check_address
-from ashpond.controllers.serverends import LostRequest, ServerEnds, WatchedServer
+from ashpond.controllers.crashdetection import CrashDetector, LostRequest, WatchedServer
 from ashpond.decisions.fingerprints import make_fingerprint
 from ashpond.decisions.quarantine import (
     Fingerprint,
@@ -54,7 +54,7 @@
     is_cleared: bool
 
 
-class CallEnds:
+class CallQuarantine:
     """Knows which calls are suspected of ending servers, by all instances' word."""
 
     def __init__(
@@ -68,7 +68,7 @@
         self._engines = engines
         self._metrics = metrics
         self._on_way: Counter[str] = Counter()
-        self._ends = ServerEnds(
+        self._ends = CrashDetector(
             _check,
             _note,
             self._note_lost,
--- a/ashpond/controllers/serverends.py
+++ b/ashpond/controllers/crashdetection.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-__all__ = ["EndEvidence", "LostRequest", "ServerEnds", "WatchedServer"]
+__all__ = ["CrashEvidence", "LostRequest", "CrashDetector", "WatchedServer"]
 
 from collections import Counter
 from collections.abc import Awaitable, Callable, Iterable
@@ -39,7 +39,7 @@
 MAX_ENDED = 4_096
 
 
-class EndEvidence(StrEnum):
+class CrashEvidence(StrEnum):
     """What shows that a server has ended."""
 
     REFUSED = "refused"
@@ -86,7 +86,7 @@
         self.ended_at: float | None = None
 
 
-class ServerEnds:
+class CrashDetector:
     """Takes broken sends and signs of an end, and tells which requests were lost.
 
     :param check: connects to a server to see whether it lives.
@@ -153,7 +153,7 @@
         if not is_silent:
             self._ask_to_check(broken, now)
 
-    def note_ended(self, server: WatchedServer, evidence: EndEvidence) -> None:
+    def note_ended(self, server: WatchedServer, evidence: CrashEvidence) -> None:
         """Take a sign that a start of a server has ended."""
         if server.is_draining:
             return
@@ -163,7 +163,7 @@
         if broken is None or broken.ended_at is not None:
             return
         since = now - ATTRIBUTION_SECONDS
-        if evidence is not EndEvidence.NEW_START:
+        if evidence is not CrashEvidence.NEW_START:
             # It lived after these broke, or has gone without ending them.
             since = max(since, broken.alive_at)
         lost = [found for found in broken.lost.values() if found.broken_at >= since]
@@ -243,7 +243,7 @@
         server = broken.server
         reach = await self._check_server(server)
         if reach is Reach.REFUSED:
-            self.note_ended(server, EndEvidence.REFUSED)
+            self.note_ended(server, CrashEvidence.REFUSED)
             self._on_refused(server)
         elif reach is Reach.CONNECTED:
             broken.alive_at = trio.current_time()
--- a/ashpond/controllers/directory.py
+++ b/ashpond/controllers/directory.py
@@ -18,7 +18,7 @@
     StartOrder,
     compare_starts,
 )
-from ashpond.controllers.serverends import WatchedServer
+from ashpond.controllers.crashdetection import WatchedServer
 from ashpond.decisions.loads import NO_LOAD, PEER_LOAD_SECONDS, Load
 from ashpond.decisions.ratelimits import NO_LIMIT
 
--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -16,7 +16,7 @@
 from ashpond.clients.http import make_client
 from ashpond.clients.platform import MemberKind
 from ashpond.clients.service import fetch_draining
-from ashpond.controllers.serverends import EndEvidence, WatchedServer
+from ashpond.controllers.crashdetection import CrashEvidence, WatchedServer
 from ashpond.decisions.caches import CacheView
 from ashpond.decisions.health import ServerHealth, select_usable
 from ashpond.decisions.placement import Candidate, LoadReport, estimate_start
@@ -115,7 +115,7 @@
         )
         self.servers: dict[str, ServerState] = {}
         # Is told of each start of a server that is seen to have ended.
-        self.on_end: Callable[[WatchedServer, EndEvidence], None] = (
+        self.on_end: Callable[[WatchedServer, CrashEvidence], None] = (
             lambda server, evidence: None
         )
         self._changed = trio.Event()
@@ -183,7 +183,7 @@
     def _note_new_start(self, state: ServerState, before: WatchedServer) -> None:
         is_first = before.id == f"{state.name}#"
         if not is_first and state.watched.id != before.id:
-            self.on_end(before, EndEvidence.NEW_START)
+            self.on_end(before, CrashEvidence.NEW_START)
 
     async def _poll_plain(self, state: ServerState) -> None:
         draining = await fetch_draining(self._client, state.config.address)
@@ -316,7 +316,7 @@
         if state is None:
             return
         if refused:
-            self.on_end(state.watched, EndEvidence.REFUSED)
+            self.on_end(state.watched, CrashEvidence.REFUSED)
         if state.health.note_failure(trio.current_time(), refused=refused):
             self._metrics.ejections.inc({"server": name})
             logger.warning("server_ejected", extra={"server": name})
--- a/ashpond/controllers/quarantine.py
+++ b/ashpond/controllers/quarantine.py
@@ -21,8 +21,8 @@
 )
 
 if TYPE_CHECKING:
+    from ashpond.controllers.crashdetection import LostRequest
     from ashpond.controllers.invalidrows import InvalidRows
-    from ashpond.controllers.serverends import LostRequest
     from ashpond.gateway.decisionlog import DecisionLog
     from ashpond.gateway.metrics import GatewayMetrics
     from ashpond.gateway.store import Store, StoreClock
--- a/ashpond/controllers/serverstatements.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ServerStatements"]
+__all__ = ["ServerDirectives"]
 
 import random
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 MOST_SPREAD_SECONDS = 0.5
 
 
-class ServerStatements:
+class ServerDirectives:
     """Takes what answers, and peers, say of servers, and tells the peers what is new.
 
     :param count: counts a statement by its kind.
--- a/ashpond/controllers/servernews.py
+++ b/ashpond/controllers/serverupdates.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
-__all__ = ["ServerNews"]
+__all__ = ["ServerUpdates"]
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 import trio
 
+from ashpond.controllers.crashdetection import (
+    CrashDetector,
+    CrashEvidence,
+    WatchedServer,
+)
 from ashpond.controllers.directory import ServerState, ServerTable, StartOrder
-from ashpond.controllers.serverends import EndEvidence, ServerEnds, WatchedServer
 from ashpond.news.items import ServerNotice
 
 if TYPE_CHECKING:
     from ashpond.clients.channels import ChannelPool
-    from ashpond.controllers.serverstatements import ServerStatements
+    from ashpond.controllers.serverdirectives import ServerDirectives
     from ashpond.decisions.holdings import Holding, Holdings
     from ashpond.decisions.prompts import Prompt
     from ashpond.gateway.decisionlog import DecisionLog
@@ -23,7 +27,7 @@
     from ashpond.news.room import Newsroom
 
 
-class ServerNews:
+class ServerUpdates:
     """Takes what is heard of servers, and tells the peers what was seen here.
 
     :param get_news: returns where the peers are told.
@@ -36,9 +40,9 @@
         table: ServerTable,
         holdings: Holdings,
         pool: ChannelPool,
-        ends: ServerEnds,
+        ends: CrashDetector,
         log: DecisionLog,
-        statements: ServerStatements,
+        statements: ServerDirectives,
         get_news: Callable[[], Newsroom],
         get_rollouts: Callable[[], RolloutController],
         wake: Callable[[], None],
@@ -62,7 +66,7 @@
         server_id = state.info.id
         self._holdings.forget_server(server_id)
         self._pool.forget(ended.owner)
-        self._ends.note_ended(ended.watched, EndEvidence.NEW_START)
+        self._ends.note_ended(ended.watched, CrashEvidence.NEW_START)
         self._get_rollouts().forget_start(server_id)
         self._log.note(
             "server_started_anew",
@@ -116,7 +120,7 @@
 
     def on_gone(self, gone: ServerState) -> None:
         """Forget a server whose entry has gone."""
-        self._ends.note_ended(gone.watched, EndEvidence.ENTRY_GONE)
+        self._ends.note_ended(gone.watched, CrashEvidence.ENTRY_GONE)
         self._pool.forget(gone.owner)
 
     def on_refused(self, server: WatchedServer) -> None:
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -13,12 +13,12 @@
 from ashpond.clients.channels import Reach
 from ashpond.controllers.allowancegrants import take_unlimited
 from ashpond.controllers.cachestores import CacheStores
+from ashpond.controllers.crashdetection import CrashDetector, WatchedServer
 from ashpond.controllers.directory import BackendServer, ServerState, ServerTable
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.permits import Permits
 from ashpond.controllers.quarantine import Quarantine
-from ashpond.controllers.serverends import ServerEnds, WatchedServer
-from ashpond.controllers.serverstatements import ServerStatements
+from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.budget import SendBudget
 from ashpond.decisions.declared import (
     Declaration,
@@ -83,7 +83,7 @@
     holdings: Holdings
     places: Places
     knowledge: Knowledge
-    statements: ServerStatements
+    statements: ServerDirectives
     rollouts: RolloutController
     dispatcher: Dispatcher
 
@@ -117,7 +117,7 @@
         rng,
     )
     permits = Permits(around.keeper, lambda outcome: None, rng, places.wake)
-    statements = ServerStatements(
+    statements = ServerDirectives(
         table, log, lambda kind: None, around.announce, rng, permits.on_limit
     )
     tools = Tools(
@@ -131,7 +131,7 @@
         lambda: around.scenario.instances,
         note_held,
         lambda call, team: None,
-        ServerEnds(_check_nothing, log.note, lambda lost: None),
+        CrashDetector(_check_nothing, log.note, lambda lost: None),
         statements,
         _build_quarantine(around, log),
         lambda state, seconds: None,
--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -29,7 +29,7 @@
 from ashpond.tokens import StreamToken, make_stream_token
 
 if TYPE_CHECKING:
-    from ashpond.controllers.callends import CallEnds
+    from ashpond.controllers.callquarantine import CallQuarantine
     from ashpond.controllers.claims import ClaimsController
     from ashpond.controllers.configuration import ConfigurationController
     from ashpond.controllers.engines import EnginesController, InFlight
@@ -70,7 +70,7 @@
         metrics: Metrics,
         rng: random.Random,
         client: httpx.AsyncClient,
-        ends: CallEnds,
+        ends: CallQuarantine,
     ):
         self._ends = ends
         self._settings = settings
--- a/ashpond/filters/quarantine.py
+++ b/ashpond/filters/quarantine.py
@@ -12,7 +12,7 @@
 from ashpond.replies import make_refusal_reply
 
 if TYPE_CHECKING:
-    from ashpond.controllers.callends import CallEnds
+    from ashpond.controllers.callquarantine import CallQuarantine
     from ashpond.metrics import Metrics
 
 BAD_REQUEST = 400
@@ -30,7 +30,7 @@
 )
 
 
-def make_quarantine(ends: CallEnds, metrics: Metrics) -> Filter:
+def make_quarantine(ends: CallQuarantine, metrics: Metrics) -> Filter:
     """Return the filter."""
 
     def refuse(refusal: Refusal) -> Reply:
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -12,13 +12,13 @@
 from ashpond.controllers.allowances import Allowances
 from ashpond.controllers.budgets import Budgets
 from ashpond.controllers.cachestores import EVENTS_PREFIX, CacheStores
+from ashpond.controllers.crashdetection import CrashDetector
 from ashpond.controllers.feeds import Feed, Follower, TableNews
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.permits import Permits
 from ashpond.controllers.quarantine import Quarantine
-from ashpond.controllers.serverends import ServerEnds
-from ashpond.controllers.servernews import ServerNews
-from ashpond.controllers.serverstatements import ServerStatements
+from ashpond.controllers.serverdirectives import ServerDirectives
+from ashpond.controllers.serverupdates import ServerUpdates
 from ashpond.controllers.storeview import StoreView, build_feeds
 from ashpond.decisions.declared import CacheStore, IngressLimits
 from ashpond.decisions.fleetlinks import Member
@@ -81,7 +81,7 @@
         self.rng = random.Random()
         self.metrics = GatewayMetrics()
         self.invalid_rows = InvalidRows(log, self.metrics.count_invalid_row)
-        self.ends = ServerEnds(
+        self.ends = CrashDetector(
             lambda server: pool.check(server.owner, server.address),
             log.note,
             lambda lost: self.quarantine.note_lost(lost),
@@ -132,7 +132,7 @@
             self.rng,
             lambda: bool(self.news.links.group),
         )
-        self.statements = ServerStatements(
+        self.statements = ServerDirectives(
             self.table,
             log,
             self.metrics.count_statement,
@@ -141,7 +141,7 @@
             lambda state, before: self.permits.on_limit(state, before),
             lambda: self.rollouts.note_change(),
         )
-        self.servers = ServerNews(
+        self.servers = ServerUpdates(
             self.table,
             self.holdings,
             pool,
--- a/ashpond/gateway/callprogress.py
+++ b/ashpond/gateway/callprogress.py
@@ -21,10 +21,10 @@
 
 from ashpond.clients.channels import ChannelPool
 from ashpond.controllers.allowancegrants import Taken
+from ashpond.controllers.crashdetection import CrashDetector
 from ashpond.controllers.directory import ServerState
 from ashpond.controllers.quarantine import Quarantine
-from ashpond.controllers.serverends import ServerEnds
-from ashpond.controllers.serverstatements import ServerStatements
+from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.budget import SendBudget
 from ashpond.decisions.declared import Route, Team, pick_service
 from ashpond.decisions.eventstream import EventCutter
@@ -60,8 +60,8 @@
     count_instances: Callable[[], int]
     note_held: Callable[[ServerState, str, Prompt], None]
     identify: Callable[[IncomingCall, Team | None], str | None]
-    ends: ServerEnds
-    statements: ServerStatements
+    ends: CrashDetector
+    statements: ServerDirectives
     quarantine: Quarantine
     announce_unreached: Callable[[ServerState, float], None]
     take_allowance: TakeAllowance
--- a/ashpond/gateway/sends.py
+++ b/ashpond/gateway/sends.py
@@ -7,12 +7,12 @@
 import trio
 
 from ashpond.clients.channels import Channel, ChannelError, Outgoing, Response
+from ashpond.controllers.crashdetection import CrashEvidence
 from ashpond.controllers.directory import (
     FULL_PAUSE_SECONDS,
     LOADING_PAUSE_SECONDS,
     ServerState,
 )
-from ashpond.controllers.serverends import EndEvidence
 from ashpond.decisions.declared import RouteKind
 from ashpond.decisions.ratelimits import PERMIT_SECONDS
 from ashpond.decisions.selection import describe_candidate, describe_demand
@@ -71,7 +71,7 @@
             return self._note_failed(SILENT, is_sent=channel is not None)
         except ChannelError as error:
             if error.is_refused:
-                self.tools.ends.note_ended(state.watched, EndEvidence.REFUSED)
+                self.tools.ends.note_ended(state.watched, CrashEvidence.REFUSED)
             return self._note_failed(str(error), is_sent=error.is_sent)
         finally:
             if channel is not None and is_whole:
@@ -240,7 +240,7 @@
         asked = self._place.weights_version or 0
         if marks.server_id not in (None, state.info.id):
             state.misdirected = True
-            self.tools.ends.note_ended(state.watched, EndEvidence.OTHER_SERVER)
+            self.tools.ends.note_ended(state.watched, CrashEvidence.OTHER_SERVER)
         elif marks.weights_version is not None:
             state.weights[model] = marks.weights_version
         elif asked and state.weights.get(model, 0) == asked < target:
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -9,7 +9,7 @@
 import trio
 
 from ashpond.controllers.permits import Permits
-from ashpond.controllers.serverstatements import ServerStatements
+from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.ratelimits import PERMIT_SECONDS
 from ashpond.gateway.calls import AnswerMarks
 from ashpond.gateway.decisionlog import DecisionLog
@@ -49,7 +49,7 @@
             random.Random(instance.name),
             lambda: None,
         )
-        self.statements = ServerStatements(
+        self.statements = ServerDirectives(
             instance.table,
             log,
             lambda kind: None,
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -10,10 +10,10 @@
 
 from ashpond.clients.channels import ChannelError, Outgoing, Reach
 from ashpond.controllers.allowancegrants import take_unlimited
+from ashpond.controllers.crashdetection import CrashDetector, CrashEvidence
 from ashpond.controllers.permits import grant_unasked
 from ashpond.controllers.quarantine import Quarantine
-from ashpond.controllers.serverends import EndEvidence, ServerEnds
-from ashpond.controllers.serverstatements import ServerStatements
+from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.budget import SendBudget
 from ashpond.decisions.fingerprints import make_fingerprint
 from ashpond.decisions.knowledge import Knowledge
@@ -130,7 +130,7 @@
             lambda: self.ends.measure_hazard(),
         )
         pool = FleetPool(fleet)
-        self.ends = ServerEnds(
+        self.ends = CrashDetector(
             lambda server: pool.check(server.owner, server.address),
             log.note,
             self.quarantine.note_lost,
@@ -154,7 +154,7 @@
                 lambda server, salt, prompt: None,
                 lambda call, team: identify(call),
                 self.ends,
-                ServerStatements(
+                ServerDirectives(
                     self.table,
                     log,
                     lambda kind: None,
@@ -275,7 +275,7 @@
         for instance in self.instances:
             gone = instance.table.remove(name, now, may_lapse=False)
             if gone is not None:
-                instance.ends.note_ended(gone.watched, EndEvidence.ENTRY_GONE)
+                instance.ends.note_ended(gone.watched, CrashEvidence.ENTRY_GONE)
         await trio.sleep(AWAY_SECONDS - ENTRY_SECONDS)
         self._start_server()
 
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -12,11 +12,11 @@
 
 from ashpond.clients.channels import ChannelError, Outgoing, Reach
 from ashpond.controllers.allowancegrants import take_unlimited
+from ashpond.controllers.crashdetection import CrashDetector, WatchedServer
 from ashpond.controllers.directory import ServerTable
 from ashpond.controllers.permits import grant_unasked
 from ashpond.controllers.quarantine import Quarantine
-from ashpond.controllers.serverends import ServerEnds, WatchedServer
-from ashpond.controllers.serverstatements import ServerStatements
+from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.budget import SendBudget
 from ashpond.decisions.declared import Declaration, Route, RouteKind
 from ashpond.decisions.knowledge import Knowledge
@@ -192,8 +192,8 @@
         lambda: 1,
         lambda server, salt, prompt: None,
         lambda call, team: FINGERPRINT if quarantine else None,
-        ServerEnds(check_nothing, log.note, lambda lost: None),
-        ServerStatements(
+        CrashDetector(check_nothing, log.note, lambda lost: None),
+        ServerDirectives(
             table, log, lambda kind: None, lambda notice: None, random.Random(1)
         ),
         quarantine or make_quarantine(log),
--- a/tests/test_callends.py
+++ b/tests/test_callquarantine.py
@@ -11,9 +11,9 @@
 
 from ashpond.call import Call, Reply
 from ashpond.clients.channels import Reach
-from ashpond.controllers import callends
-from ashpond.controllers.callends import ENDS_PART, CallEnds
-from ashpond.controllers.serverends import EndEvidence, WatchedServer
+from ashpond.controllers import callquarantine
+from ashpond.controllers.callquarantine import ENDS_PART, CallQuarantine
+from ashpond.controllers.crashdetection import CrashEvidence, WatchedServer
 from ashpond.decisions.quarantine import SETTLING_SECONDS, Standing
 from ashpond.filters.quarantine import make_quarantine
 from ashpond.metrics import Metrics
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.members = FakeMembers()
         self.engines = SimpleNamespace(servers={}, on_end=None)
-        self.ends = CallEnds(
+        self.ends = CallQuarantine(
             make_settings(),
             self.engines,  # type: ignore[arg-type]
             self.members,  # type: ignore[arg-type]
@@ -57,7 +57,7 @@
         """Lose a call with the end of a server's start."""
         server = WatchedServer(start, start, None, "127.0.0.1:9", "reader", False)
         self.ends.note_broken(call, server, trio.current_time() - 0.1)
-        self.engines.on_end(server, EndEvidence.NEW_START)
+        self.engines.on_end(server, CrashEvidence.NEW_START)
 
     def judge(self, call: Call) -> Standing:
         return self.ends.judge(self.ends.identify(call))
@@ -96,7 +96,7 @@
     one.members.tell(other.members)
     assert other.judge(call) is Standing.QUARANTINED
     # Told again and again, it counts no more and no longer.
-    await trio.sleep(callends.KEEP_SECONDS - 1)
+    await trio.sleep(callquarantine.KEEP_SECONDS - 1)
     one.members.tell(other.members)
     other.members.tell(one.members)
     await trio.sleep(GAP_SECONDS * 3)
@@ -174,7 +174,7 @@
     async def refuse(address: str) -> Reach:
         return Reach.REFUSED
 
-    monkeypatch.setattr(callends, "check_address", refuse)
+    monkeypatch.setattr(callquarantine, "check_address", refuse)
     told = Told()
     nursery.start_soon(told.ends.run)
     call = make_call()
--- a/tests/test_serverends.py
+++ b/tests/test_crashdetection.py
@@ -7,19 +7,19 @@
 import trio.testing
 
 from ashpond.clients.channels import ChannelPool, Reach
-from ashpond.controllers.directory import ServerState
-from ashpond.controllers.serverends import (
+from ashpond.controllers.crashdetection import (
     ATTRIBUTION_SECONDS,
     CHECK_SECONDS,
     HAZARD_SECONDS,
     MAX_REQUESTS,
     MAX_SERVERS,
     SAME_END_SECONDS,
-    EndEvidence,
+    CrashDetector,
+    CrashEvidence,
     LostRequest,
-    ServerEnds,
     WatchedServer,
 )
+from ashpond.controllers.directory import ServerState
 from ashpond.decisions.fingerprints import make_fingerprint
 from ashpond.gateway.decisionlog import DecisionLog
 from tests.gateway_builders import make_server
@@ -45,7 +45,7 @@
         self.pool = CheckedPool(reach)
         self.lost: list[LostRequest] = []
         self.refused: list[WatchedServer] = []
-        self.ends = ServerEnds(
+        self.ends = CrashDetector(
             self.pool.check,
             DecisionLog("i").note,
             self.lost.append,
@@ -84,7 +84,7 @@
     watched.ends.note_broken(state, "f1", trio.current_time())
     await trio.sleep(1)
     # It ends later, for another reason; what broke before was not ended by it.
-    watched.ends.note_ended(state, EndEvidence.ENTRY_GONE)
+    watched.ends.note_ended(state, CrashEvidence.ENTRY_GONE)
     assert not watched.lost
 
 
@@ -96,19 +96,19 @@
     state = make_state()
     watched.ends.note_broken(state, "f1", trio.current_time())
     await trio.sleep(0.5)
-    watched.ends.note_ended(state, EndEvidence.NEW_START)
+    watched.ends.note_ended(state, CrashEvidence.NEW_START)
     assert watched.list_lost() == ["f1"]
 
 
-@pytest.mark.parametrize("evidence", list(EndEvidence))
+@pytest.mark.parametrize("evidence", list(CrashEvidence))
 async def test_each_sign_counts_once(
-    evidence: EndEvidence, autojump_clock: object
+    evidence: CrashEvidence, autojump_clock: object
 ) -> None:
     watched = Watched()
     state = make_state()
     watched.ends.note_broken(state, "f1", trio.current_time())
     watched.ends.note_ended(state, evidence)
-    watched.ends.note_ended(state, EndEvidence.ENTRY_GONE)
+    watched.ends.note_ended(state, CrashEvidence.ENTRY_GONE)
     assert watched.list_lost() == ["f1"]
     assert watched.lost[0].server is state
 
@@ -119,7 +119,7 @@
     watched = Watched()
     state = make_state()
     watched.ends.note_broken(state, "f1", trio.current_time())
-    watched.ends.note_ended(state, EndEvidence.REFUSED)
+    watched.ends.note_ended(state, CrashEvidence.REFUSED)
     await trio.sleep(SAME_END_SECONDS / 2)
     watched.ends.note_broken(state, "f2", trio.current_time())
     await trio.sleep(SAME_END_SECONDS)
@@ -135,7 +135,7 @@
     watched.ends.note_broken(state, "f1", trio.current_time())
     await trio.sleep(ATTRIBUTION_SECONDS + 0.1)
     watched.ends.note_broken(state, "f2", trio.current_time())
-    watched.ends.note_ended(state, EndEvidence.REFUSED)
+    watched.ends.note_ended(state, CrashEvidence.REFUSED)
     assert watched.list_lost() == ["f2"]
 
 
@@ -145,7 +145,7 @@
     watched = Watched()
     leaving = make_state(is_draining=True)
     watched.ends.note_broken(leaving, "f1", trio.current_time())
-    watched.ends.note_ended(leaving, EndEvidence.ENTRY_GONE)
+    watched.ends.note_ended(leaving, CrashEvidence.ENTRY_GONE)
     assert not watched.lost
 
 
@@ -171,7 +171,7 @@
     await trio.sleep(0.1)
     assert watched.pool.checks == 0
     # What was in flight counts, if its end shows otherwise.
-    watched.ends.note_ended(state, EndEvidence.ENTRY_GONE)
+    watched.ends.note_ended(state, CrashEvidence.ENTRY_GONE)
     assert watched.list_lost() == ["f1"]
 
 
@@ -182,7 +182,7 @@
         for number in range(MAX_REQUESTS + 10):
             watched.ends.note_broken(state, f"f{number}", trio.current_time())
     for state in states:
-        watched.ends.note_ended(state, EndEvidence.REFUSED)
+        watched.ends.note_ended(state, CrashEvidence.REFUSED)
     assert len(watched.lost) == MAX_SERVERS * MAX_REQUESTS
 
 
@@ -233,7 +233,7 @@
 ) -> None:
     engines = [make_state(f"e{number}") for number in range(5)]
     plain = [make_state(f"p{number}", service="plain") for number in range(4)]
-    ends = ServerEnds(
+    ends = CrashDetector(
         CheckedPool(Reach.UNKNOWN).check,
         DecisionLog("i").note,
         lambda lost: None,
@@ -242,7 +242,7 @@
     assert ends.measure_hazard() == 0
     await trio.sleep(HAZARD_SECONDS)
     for state in engines[:3] + plain[:1] + engines[:3]:
-        ends.note_ended(state, EndEvidence.ENTRY_GONE)
+        ends.note_ended(state, CrashEvidence.ENTRY_GONE)
     assert ends.measure_hazard() == pytest.approx(3 / (5 * HAZARD_SECONDS))
     await trio.sleep(HAZARD_SECONDS + 1)
     assert ends.measure_hazard() == 0
@@ -253,7 +253,7 @@
 ) -> None:
     engines = [make_state(f"e{number}") for number in range(5)]
     there = list(engines)
-    ends = ServerEnds(
+    ends = CrashDetector(
         CheckedPool(Reach.UNKNOWN).check,
         DecisionLog("i").note,
         lambda lost: None,
@@ -262,6 +262,6 @@
     ends.count_servers()
     await trio.sleep(HAZARD_SECONDS / 2)
     for state in engines:
-        ends.note_ended(state, EndEvidence.ENTRY_GONE)
+        ends.note_ended(state, CrashEvidence.ENTRY_GONE)
         there.remove(state)
     assert ends.measure_hazard() == pytest.approx(5 / (5 * HAZARD_SECONDS / 2))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -12,6 +12,7 @@
 from hypothesis import given, strategies as st
 
 from ashpond.clients.peer import ServerEndNews
+from ashpond.controllers.crashdetection import LostRequest
 from ashpond.controllers.directory import ServerState, ServerTable
 from ashpond.controllers.quarantine import (
     MAX_SINGLES,
@@ -20,7 +21,6 @@
     Turn,
 )
 from ashpond.controllers.quarantinerows import QUARANTINE_TABLE, decode_row, encode_row
-from ashpond.controllers.serverends import LostRequest
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import (
