--- a/ashpond/controllers/configuration.py
+++ b/ashpond/controllers/configuration.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ApplyOutcome", "ApplyFailed", "ConfigurationController"]
+__all__ = ["ApplyFailed", "ApplyOutcome", "ConfigurationController"]
 
 import random
 from collections.abc import Callable
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from ashpond.clients.channels import ChannelPool
     from ashpond.controllers.serverdirectives import ServerDirectives
-    from ashpond.decisions.holdings import Holding, Holdings
+    from ashpond.decisions.cacheindex import CacheEntry, CacheIndex
     from ashpond.decisions.prompts import Prompt
     from ashpond.gateway.decisionlog import DecisionLog
     from ashpond.gateway.rollouts import RolloutController
@@ -38,7 +38,7 @@
     def __init__(
         self,
         table: ServerTable,
-        holdings: Holdings,
+        holdings: CacheIndex,
         pool: ChannelPool,
         ends: CrashDetector,
         log: DecisionLog,
@@ -64,7 +64,7 @@
         broken; none of them counts as not run, whatever the new start knows.
         """
         server_id = state.info.id
-        self._holdings.forget_server(server_id)
+        self._holdings.remove_server(server_id)
         self._pool.forget(ended.owner)
         self._ends.note_ended(ended.watched, CrashEvidence.NEW_START)
         self._get_rollouts().forget_start(server_id)
@@ -102,12 +102,12 @@
             state.reopen()
             self._wake()
 
-    def on_holding(self, holding: Holding) -> None:
+    def on_holding(self, holding: CacheEntry) -> None:
         """Take a peer's word of what an engine has read."""
         now = trio.current_time()
-        order = self._table.note_start(holding.server_id, holding.born, now)
+        order = self._table.note_start(holding.server_id, holding.started_ms, now)
         if order is not StartOrder.OLDER:
-            self._holdings.note_told(holding, now)
+            self._holdings.note_reported(holding, now)
 
     def note_held(self, state: ServerState, salt: str, prompt: Prompt) -> None:
         """Note, and tell, that an engine has read a prompt."""
--- a/ashpond/decisions/burn.py
+++ b/ashpond/decisions/burn.py
@@ -4,11 +4,11 @@
 
 __all__ = [
     "BUCKET_SECONDS",
+    "PAGE_RULES",
+    "WINDOWS",
     "BurnRow",
     "BurnWindow",
     "Counts",
-    "PAGE_RULES",
-    "WINDOWS",
     "coarsen_counts",
     "count_outcome",
     "judge_burn",
--- a/ashpond/decisions/holdings.py
+++ b/ashpond/decisions/cacheindex.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Holding", "Holdings", "make_salt"]
+__all__ = ["CacheEntry", "CacheIndex", "make_salt"]
 
 from typing import NamedTuple
 
@@ -11,19 +11,19 @@
 
 # Engines drop the least recently used parts within seconds; a wrong guess costs
 # one fruitless fetch (a ms) and reading the part.
-KEPT_SECONDS = 4.0
+ENTRY_TTL_SECONDS = 4.0
 # A part in steady use is told to the peers again after this (seconds).
-RETELL_SECONDS = 1.5
+RESEND_SECONDS = 1.5
 MAX_ENTRIES = 20_000
 
 
-class Holding(NamedTuple):
-    """An engine has read a part under a salt, since its start at ``born``."""
+class CacheEntry(NamedTuple):
+    """An engine has read a part under a salt, since its start at ``started_ms``."""
 
     server_id: str
     salt: str
     part: str
-    born: Count | None = None
+    started_ms: Count | None = None
 
 
 def make_salt(wall: str, model: str, version: int | None) -> str:
@@ -31,12 +31,12 @@
     return f"{wall}/{model}/{version}"
 
 
-class Holdings:
+class CacheIndex:
     """A view of the engines' caches, which ages."""
 
     def __init__(self) -> None:
         self._used_at: dict[tuple[str, str], dict[str, float]] = {}
-        self._told_at: dict[Holding, float] = {}
+        self._reported_at: dict[CacheEntry, float] = {}
 
     def note_read(
         self,
@@ -44,65 +44,69 @@
         salt: str,
         prompt: Prompt,
         now: float,
-        born: int | None = None,
-    ) -> list[Holding]:
+        started_ms: int | None = None,
+    ) -> list[CacheEntry]:
         """Note that an engine has read a prompt; return what peers should hear."""
-        news = []
+        to_report = []
         for part in prompt.parts[:-1]:
-            holding = Holding(server_id, salt, part.id, born)
-            self._note(holding, now)
-            if now - self._told_at.get(holding, float("-inf")) >= RETELL_SECONDS:
-                self._told_at[holding] = now
-                news.append(holding)
-        return news
-
-    def note_told(self, holding: Holding, now: float) -> None:
+            entry = CacheEntry(server_id, salt, part.id, started_ms)
+            self._note(entry, now)
+            if now - self._reported_at.get(entry, float("-inf")) >= RESEND_SECONDS:
+                self._reported_at[entry] = now
+                to_report.append(entry)
+        return to_report
+
+    def note_reported(self, entry: CacheEntry, now: float) -> None:
         """Take what a peer says."""
-        self._note(holding, now)
-        self._told_at[holding] = now
+        self._note(entry, now)
+        self._reported_at[entry] = now
 
-    def _note(self, holding: Holding, now: float) -> None:
-        key = (holding.salt, holding.part)
-        self._used_at.setdefault(key, {})[holding.server_id] = now
+    def _note(self, entry: CacheEntry, now: float) -> None:
+        key = (entry.salt, entry.part)
+        self._used_at.setdefault(key, {})[entry.server_id] = now
 
     def count_tokens(
         self, server_id: str, salt: str, prompt: Prompt, now: float
     ) -> int:
         """Return how many of the prompt's first tokens an engine holds."""
-        return self.find_holders(salt, prompt, now).get(server_id, 0)
+        return self.count_tokens_by_server(salt, prompt, now).get(server_id, 0)
 
-    def find_holders(self, salt: str, prompt: Prompt, now: float) -> dict[str, int]:
+    def count_tokens_by_server(
+        self, salt: str, prompt: Prompt, now: float
+    ) -> dict[str, int]:
         """Return how many of the prompt's first tokens each engine holds, if any."""
-        holders: dict[str, int] = {}
+        tokens_by_server: dict[str, int] = {}
         tokens = 0
         for part in prompt.parts[:-1]:
             used_at = self._used_at.get((salt, part.id), {})
-            fresh = [s for s, at in used_at.items() if now - at <= KEPT_SECONDS]
+            current = [s for s, at in used_at.items() if now - at <= ENTRY_TTL_SECONDS]
             # A part is of use only after all parts before it.
-            going_on = [s for s in fresh if holders.get(s, 0) == tokens]
-            if not going_on:
+            continuing = [s for s in current if tokens_by_server.get(s, 0) == tokens]
+            if not continuing:
                 break
             tokens += part.tokens
-            holders.update(dict.fromkeys(going_on, tokens))
-        return holders
+            tokens_by_server.update(dict.fromkeys(continuing, tokens))
+        return tokens_by_server
 
-    def forget_server(self, server_id: str) -> None:
+    def remove_server(self, server_id: str) -> None:
         """Drop all that an engine held."""
         for servers in self._used_at.values():
             servers.pop(server_id, None)
-        self._told_at = {
-            holding: at
-            for holding, at in self._told_at.items()
-            if holding.server_id != server_id
+        self._reported_at = {
+            entry: at
+            for entry, at in self._reported_at.items()
+            if entry.server_id != server_id
         }
 
     def expire(self, now: float) -> None:
         """Drop what has aged."""
-        limit = now - KEPT_SECONDS
+        limit = now - ENTRY_TTL_SECONDS
         for key in list(self._used_at):
             servers = self._used_at[key]
             for server_id in [s for s, used_at in servers.items() if used_at < limit]:
                 del servers[server_id]
             if not servers:
                 del self._used_at[key]
-        self._told_at = {h: at for h, at in self._told_at.items() if at >= limit}
+        self._reported_at = {
+            h: at for h, at in self._reported_at.items() if at >= limit
+        }
--- a/ashpond/decisions/leases.py
+++ b/ashpond/decisions/leases.py
@@ -11,11 +11,11 @@
 from __future__ import annotations
 
 __all__ = [
+    "TERM_SECONDS",
     "Lease",
     "LeaseRow",
     "LeaseTerms",
     "LeaseWrite",
-    "TERM_SECONDS",
     "make_lease_terms",
 ]
 
--- a/ashpond/decisions/placement.py
+++ b/ashpond/decisions/placement.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 __all__ = [
-    "Candidate",
     "HOME_TRUST",
+    "SAMPLED_HOME_TRUST",
+    "Candidate",
     "LoadReport",
     "Placed",
-    "SAMPLED_HOME_TRUST",
     "choose_engine",
     "choose_least_loaded",
     "estimate_start",
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -6,10 +6,10 @@
 from __future__ import annotations
 
 __all__ = [
-    "Candidate",
-    "Demand",
     "MANY_STALE_COST_SECONDS",
     "STALE_COST_SECONDS",
+    "Candidate",
+    "Demand",
     "ScoredCandidate",
     "choose_scored",
     "choose_server",
@@ -22,9 +22,9 @@
     "pick_candidate",
     "pick_idlest",
     "rank_homes",
-    "sample_servers",
     "read_candidate",
     "read_demand",
+    "sample_servers",
     "score_candidates",
 ]
 
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -20,13 +20,13 @@
 from ashpond.controllers.quarantine import Quarantine
 from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.budget import SendBudget
+from ashpond.decisions.cacheindex import CacheEntry, CacheIndex
 from ashpond.decisions.declared import (
     Declaration,
     EngineTraits,
     IngressLimits,
     Service,
 )
-from ashpond.decisions.holdings import Holding, Holdings
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.prompts import Prompt
 from ashpond.decisions.quarantine import Suspicions
@@ -72,7 +72,7 @@
     pool: EmulatedPool
     store: MemoryStore
     keeper: EmulatedKeeper
-    tell: Callable[[list[Holding]], None]
+    tell: Callable[[list[CacheEntry]], None]
     announce: Callable[[ServerNotice], None]
 
 
@@ -80,7 +80,7 @@
     """The parts of one instance that the world looks into."""
 
     table: ServerTable
-    holdings: Holdings
+    holdings: CacheIndex
     places: Places
     knowledge: Knowledge
     statements: ServerDirectives
@@ -93,7 +93,7 @@
     table = _build_table(around)
     knowledge = Knowledge()
     knowledge.adopt(_build_declaration(around.scenario))
-    holdings = Holdings()
+    holdings = CacheIndex()
     rng = random.Random(f"{around.scenario.seed}/{number}")
     log = DecisionLog(f"i{number}")
     budget = SendBudget(RETRY_SHARE, RETRY_SLACK, RETRY_WINDOW, -RETRY_WINDOW)
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/world.py
@@ -10,8 +10,8 @@
 import trio
 import trio.testing
 
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.declared import Route, RouteKind, ServiceShare, WeightTarget
-from ashpond.decisions.holdings import Holding
 from ashpond.decisions.prompts import Prompt, PromptPart
 from ashpond.emulator.engines import EmulatedEngine, Run
 from ashpond.emulator.instances import (
@@ -104,7 +104,7 @@
         self.scenario = scenario
         self.rng = random.Random(scenario.seed)
         self.outcomes: list[Outcome] = []
-        self.told: list[Holding] = []
+        self.told: list[CacheEntry] = []
         ever_read: set[tuple[str, str]] = set()
         names = [f"e{n}" for n in range(scenario.engines)]
         self.engines = {n: EmulatedEngine(n, scenario.shape, ever_read) for n in names}
@@ -244,7 +244,7 @@
             holdings, self.told = self.told, []
             for instance in self.instances:
                 for holding in holdings:
-                    instance.holdings.note_told(holding, now)
+                    instance.holdings.note_reported(holding, now)
             told = [instance.table.list_own_loads() for instance in self.instances]
 
     async def _strike(self, crash: Crash) -> None:
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -20,9 +20,9 @@
 from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.controllers.serverupdates import ServerUpdates
 from ashpond.controllers.storeview import StoreView, build_feeds
+from ashpond.decisions.cacheindex import CacheIndex
 from ashpond.decisions.declared import CacheStore, IngressLimits
 from ashpond.decisions.fleetlinks import Member
-from ashpond.decisions.holdings import Holdings
 from ashpond.decisions.quarantine import Suspicions
 from ashpond.errors import SettingsError
 from ashpond.gateway.admission import admit_call
@@ -111,7 +111,7 @@
         )
         self.knowledge = self.view.knowledge
         self.table = self.view.table
-        self.holdings = Holdings()
+        self.holdings = CacheIndex()
         self.stores = CacheStores(
             lambda: self.news.is_reader, lambda news: self.news.publish(news)
         )
--- a/ashpond/gateway/places.py
+++ b/ashpond/gateway/places.py
@@ -13,8 +13,8 @@
 
 from ashpond.controllers.cachestores import CacheStores
 from ashpond.controllers.directory import ServerState, ServerTable
+from ashpond.decisions.cacheindex import CacheIndex
 from ashpond.decisions.declared import Declaration
-from ashpond.decisions.holdings import Holdings
 from ashpond.decisions.loads import Load
 from ashpond.decisions.prompts import Prompt
 from ashpond.decisions.selection import (
@@ -85,7 +85,7 @@
     def __init__(
         self,
         table: ServerTable,
-        holdings: Holdings,
+        holdings: CacheIndex,
         stores: CacheStores,
         failure_domain: str,
         get_declaration: Callable[[], Declaration | None],
--- a/ashpond/gateway/promptsources.py
+++ b/ashpond/gateway/promptsources.py
@@ -9,7 +9,7 @@
 
 from ashpond.controllers.cachestores import CacheStores
 from ashpond.controllers.directory import BackendServer, ServerState
-from ashpond.decisions.holdings import Holdings, make_salt
+from ashpond.decisions.cacheindex import CacheIndex, make_salt
 from ashpond.decisions.selection import Demand
 
 
@@ -59,7 +59,7 @@
 
 
 def find_sources(
-    holdings: Holdings,
+    holdings: CacheIndex,
     stores: CacheStores,
     states: Mapping[str, ServerState],
     demand: Demand,
@@ -73,7 +73,7 @@
         version = state.weights.get(demand.model)
         found.salts[server_id] = make_salt(demand.wall, demand.model, version)
     for salt in set(found.salts.values()):
-        holders = holdings.find_holders(salt, demand.prompt, now)
+        holders = holdings.count_tokens_by_server(salt, demand.prompt, now)
         here = {s: t for s, t in holders.items() if found.salts.get(s) == salt}
         found.held.update(here)
         found.best[salt] = _find_best(stores, states, here, salt, demand)
--- a/ashpond/news/items.py
+++ b/ashpond/news/items.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 __all__ = [
+    "MAX_CLOSED_SECONDS",
     "Digest",
     "LimitNotice",
-    "MAX_CLOSED_SECONDS",
     "NewsHandlers",
     "ServerNotice",
     "decode_changes",
+    "decode_ends",
     "decode_news",
     "decode_notices",
-    "decode_ends",
     "encode_changes",
     "encode_ends",
     "encode_news",
@@ -35,7 +35,7 @@
 )
 from ashpond.controllers.feeds import TableNews
 from ashpond.decisions.budget import SendCounts
-from ashpond.decisions.holdings import Holding
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerEnd
 from ashpond.errors import FrameError
@@ -91,7 +91,7 @@
     group: str
     work: Work
     notices: list[ServerNotice]
-    holdings: list[Holding]
+    holdings: list[CacheEntry]
 
 
 class NewsHandlers(NamedTuple):
@@ -105,7 +105,7 @@
     """
 
     on_notice: Callable[[ServerNotice], None]
-    on_holding: Callable[[Holding], None]
+    on_holding: Callable[[CacheEntry], None]
     list_sends: Callable[[], dict[str, SendCounts]]
     on_sends: Callable[[str, str, SendCounts], None]
     keep_peers: Callable[[Container[str]], None]
@@ -149,7 +149,7 @@
                 convert_table(news.loads, Load), convert_table(news.sends, SendCounts)
             ),
             convert_list(news.notices, ServerNotice),
-            convert_list(news.holdings, Holding),
+            convert_list(news.holdings, CacheEntry),
         )
     except ValueError as error:
         raise FrameError(f"news that make no sense: {error!r}") from error
--- a/ashpond/news/links.py
+++ b/ashpond/news/links.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 __all__ = [
+    "PEER_ERRORS",
+    "SCOPES",
     "Audience",
     "Link",
-    "PEER_ERRORS",
     "PeerNews",
-    "SCOPES",
     "await_end",
     "is_first_reached",
     "is_relied_on",
@@ -33,8 +33,8 @@
     TableChanges,
 )
 from ashpond.controllers.feeds import TableNews
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import Links, Member
-from ashpond.decisions.holdings import Holding
 from ashpond.decisions.quarantine import ServerEnd
 from ashpond.errors import FrameError
 from ashpond.news.fleetview import Scope, Work
@@ -127,7 +127,7 @@
         self.is_due = False
         self._signal = trio.Event()
         self.notices: list[ServerNotice] = []
-        self.holdings: list[Holding] = []
+        self.holdings: list[CacheEntry] = []
         self.tables: deque[TableNews] = deque(maxlen=MAX_PENDING_TABLES)
         self.ends: deque[ServerEnd] = deque(maxlen=MAX_PENDING_ENDS)
 
@@ -139,7 +139,7 @@
     def add(
         self,
         notices: Iterable[ServerNotice] = (),
-        holdings: Iterable[Holding] = (),
+        holdings: Iterable[CacheEntry] = (),
         tables: Iterable[TableNews] = (),
         ends: Iterable[ServerEnd] = (),
     ) -> None:
@@ -159,13 +159,13 @@
         await self._signal.wait()
         self._signal = trio.Event()
 
-    def take(self) -> tuple[list[ServerNotice], list[Holding]]:
+    def take(self) -> tuple[list[ServerNotice], list[CacheEntry]]:
         """Return the notices and holdings that wait, which are then told."""
         notices, self.notices = self.notices, []
         holdings, self.holdings = self.holdings, []
         return notices, holdings
 
-    def put_back(self, notices: list[ServerNotice], holdings: list[Holding]) -> None:
+    def put_back(self, notices: list[ServerNotice], holdings: list[CacheEntry]) -> None:
         """Keep what was taken and not told, before what has come since."""
         self.notices[:0] = notices
         self.holdings[:0] = holdings
--- a/ashpond/news/room.py
+++ b/ashpond/news/room.py
@@ -20,6 +20,7 @@
 )
 from ashpond.controllers.directory import ServerTable
 from ashpond.controllers.feeds import TableNews
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import (
     FLAT_FLEET,
     Links,
@@ -27,7 +28,6 @@
     list_names,
     plan_links,
 )
-from ashpond.decisions.holdings import Holding
 from ashpond.decisions.quarantine import ServerEnd
 from ashpond.errors import FrameError
 from ashpond.gateway.decisionlog import DecisionLog
@@ -110,7 +110,7 @@
             link.add([notice])
             link.wake()
 
-    def tell_holding(self, holding: Holding) -> None:
+    def tell_holding(self, holding: CacheEntry) -> None:
         """Tell all peers, with the next news, what an engine has read."""
         for link in self._list_listeners():
             link.add(holdings=[holding])
@@ -376,7 +376,7 @@
         scope: Scope,
         sender: str,
         notices: Sequence[ServerNotice] = (),
-        holdings: Sequence[Holding] = (),
+        holdings: Sequence[CacheEntry] = (),
         tables: Sequence[TableNews] = (),
         ends: Sequence[ServerEnd] = (),
     ) -> None:
--- a/ashpond/runtimeclock.py
+++ b/ashpond/runtimeclock.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["SuspensionWatch", "SuspendedClock", "choose_clock", "measure_suspended"]
+__all__ = ["SuspendedClock", "SuspensionWatch", "choose_clock", "measure_suspended"]
 
 import time
 from collections.abc import Callable
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -12,6 +12,7 @@
 from ashpond.controllers.directory import BackendServer, ServerTable
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.quarantine import Quarantine
+from ashpond.decisions.cacheindex import CacheIndex
 from ashpond.decisions.declared import (
     Declaration,
     EngineTraits,
@@ -23,7 +24,6 @@
     Team,
     index_routes,
 )
-from ashpond.decisions.holdings import Holdings
 from ashpond.decisions.loads import Load
 from ashpond.decisions.prompts import Prompt, PromptPart
 from ashpond.decisions.quarantine import ServerEnd, Suspicions
@@ -141,12 +141,12 @@
 
 
 def make_places(
-    table: ServerTable, holdings: Holdings | None = None, required: int = 0
+    table: ServerTable, holdings: CacheIndex | None = None, required: int = 0
 ) -> Places:
     declaration = make_declaration()
     return Places(
         table,
-        holdings or Holdings(),
+        holdings or CacheIndex(),
         CacheStores(),
         "north",
         lambda: declaration,
--- a/tests/newsroom.py
+++ b/tests/newsroom.py
@@ -9,8 +9,8 @@
 from ashpond.clients.peer import AllowanceAsk, News, PeerStream
 from ashpond.controllers.feeds import Feed, Follower, TableNews
 from ashpond.decisions.budget import SendCounts
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import FLAT_FLEET, Member
-from ashpond.decisions.holdings import Holding
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerEnd
 from ashpond.gateway.decisionlog import DecisionLog
@@ -53,7 +53,7 @@
     ):
         self.table = make_table(make_server("a"))
         self.notices: list[ServerNotice] = []
-        self.holdings: list[Holding] = []
+        self.holdings: list[CacheEntry] = []
         self.sends: dict[str, SendCounts] = {}
         self.tables: list[TableNews] = []
         self.ends: list[ServerEnd] = []
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -7,8 +7,8 @@
 from ashpond.controllers.cachestores import SAVING_SECONDS, StoreContents
 from ashpond.controllers.directory import LAPSE_SECONDS, MOST_LEAVING
 from ashpond.decisions.budget import SendBudget
+from ashpond.decisions.cacheindex import ENTRY_TTL_SECONDS, RESEND_SECONDS, CacheIndex
 from ashpond.decisions.declared import CacheStore
-from ashpond.decisions.holdings import KEPT_SECONDS, RETELL_SECONDS, Holdings
 from ashpond.decisions.loads import PEER_LOAD_SECONDS, Load
 from ashpond.gateway.orders import CacheEvent
 from tests.gateway_builders import MODEL, make_prompt, make_server, make_table
@@ -161,24 +161,24 @@
 
 
 def test_parts_are_believed_held_for_a_while_and_in_order() -> None:
-    holdings = Holdings()
+    holdings = CacheIndex()
     prompt = make_prompt("rules", "shop", "own")
     holdings.note_read("a", "salt", prompt, 0.0)
     assert holdings.count_tokens("a", "salt", prompt, 1.0) == 2000
     other = make_prompt("others", "shop", "own")
     assert holdings.count_tokens("a", "salt", other, 1.0) == 0
     assert holdings.count_tokens("a", "other salt", prompt, 1.0) == 0
-    assert holdings.count_tokens("a", "salt", prompt, KEPT_SECONDS + 1) == 0
-    holdings.expire(KEPT_SECONDS + 1)
+    assert holdings.count_tokens("a", "salt", prompt, ENTRY_TTL_SECONDS + 1) == 0
+    holdings.expire(ENTRY_TTL_SECONDS + 1)
     assert not holdings._used_at
 
 
 def test_peers_hear_of_a_part_once_in_a_while() -> None:
-    holdings = Holdings()
+    holdings = CacheIndex()
     prompt = make_prompt("rules", "shop", "own")
     assert len(holdings.note_read("a", "salt", prompt, 0.0)) == 2
     assert holdings.note_read("a", "salt", prompt, 0.5) == []
-    assert len(holdings.note_read("a", "salt", prompt, RETELL_SECONDS + 0.1)) == 2
+    assert len(holdings.note_read("a", "salt", prompt, RESEND_SECONDS + 0.1)) == 2
 
 
 def make_stores(*parts: str) -> StoreContents:
--- a/tests/test_gateway_selection.py
+++ b/tests/test_gateway_selection.py
@@ -10,8 +10,8 @@
 from hypothesis import given, strategies as st
 
 from ashpond.controllers.cachestores import StoreContents
+from ashpond.decisions.cacheindex import CacheIndex, make_salt
 from ashpond.decisions.declared import CacheStore
-from ashpond.decisions.holdings import Holdings, make_salt
 from ashpond.decisions.loads import Load
 from ashpond.decisions.prompts import Prompt
 from ashpond.decisions.selection import (
@@ -214,7 +214,7 @@
 async def test_a_place_names_where_to_fetch_from_under_the_same_salt() -> None:
     prompt = make_prompt()
     table = make_table(make_server("a", address="127.0.0.1:1"), make_server("b"))
-    holdings = Holdings()
+    holdings = CacheIndex()
     now = trio.current_time()
     holdings.note_read("a", make_salt("shared", MODEL, 1), prompt, now)
     table.by_id["a"].load = Load(9, 30_000, 9000)
@@ -245,7 +245,7 @@
     prompt = make_prompt()
     new = make_server("b", weights={MODEL: 2})
     table = make_table(make_server("a"), new)
-    holdings = Holdings()
+    holdings = CacheIndex()
     now = trio.current_time()
     holdings.note_read("a", make_salt("shared", MODEL, 1), prompt, now)
     table.by_id["a"].close_for(5.0, now)
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -12,7 +12,7 @@
 from ashpond.clients.liveness import UNACKNOWLEDGED_MS, watch_liveness
 from ashpond.clients.peer import News, TableChanges
 from ashpond.decisions.budget import SendCounts
-from ashpond.decisions.holdings import Holding
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
 from ashpond.errors import FrameError
 from ashpond.news import room as news_module
@@ -44,7 +44,7 @@
 ) -> None:
     first, *others = instances
     notice = ServerNotice("a", "m1", 2, 0.5)
-    holding = Holding("a", "salt", "rules")
+    holding = CacheEntry("a", "salt", "rules")
     async with trio.open_nursery() as nursery:
         for instance in instances:
             nursery.start_soon(instance.run)
@@ -188,7 +188,7 @@
     """
     link = Link(Audience.EQUAL, "i1")
     notice, newer = ServerNotice("a", "m1", 2, 0.0), ServerNotice("a", "m1", 3, 0.0)
-    holding = Holding("a", "salt", "rules")
+    holding = CacheEntry("a", "salt", "rules")
     link.add([notice], [holding])
     stream: Any = FailingStream(error)
     async with trio.open_nursery() as nursery:
@@ -211,7 +211,7 @@
 
 def test_in_a_group_few_holdings_wait_for_a_turn() -> None:
     """Hubs that passed all of them on had their links choked on a scale day."""
-    holdings = [Holding("a", "salt", f"part{n}") for n in range(100)]
+    holdings = [CacheEntry("a", "salt", f"part{n}") for n in range(100)]
     for audience in Audience:
         most = MAX_GROUP_HOLDINGS if audience is not Audience.EQUAL else 200
         link = Link(audience, "i1", most)
--- a/tests/test_news_groups.py
+++ b/tests/test_news_groups.py
@@ -11,8 +11,8 @@
 
 from ashpond.clients.peer import News, Notices
 from ashpond.controllers.feeds import TableNews
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import READER_GROUPS, Member
-from ashpond.decisions.holdings import Holding
 from ashpond.decisions.loads import Load
 from ashpond.gateway.store import Row
 from ashpond.news.items import ServerNotice
@@ -62,7 +62,7 @@
     grouped: list[Instance],
 ) -> None:
     notice = ServerNotice("a", "m1", 2, 0.5)
-    holding = Holding("a", "salt", "rules")
+    holding = CacheEntry("a", "salt", "rules")
     async with running(grouped):
         hubs = [i for i in grouped if i.news.is_hub]
         assert len(hubs) >= 2
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -22,7 +22,7 @@
     StartOrder,
     compare_starts,
 )
-from ashpond.decisions.holdings import Holding
+from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
 from ashpond.decisions.selection import Demand
 from ashpond.gateway.application import Gateway
@@ -87,7 +87,9 @@
     assert gateway.table.sum_load("a", 0.1) == Load()
     assert state.unreached == 0
     assert state.is_open(0.1)
-    assert not gateway.holdings.find_holders(SALT, PROMPT, trio.current_time())
+    assert not gateway.holdings.count_tokens_by_server(
+        SALT, PROMPT, trio.current_time()
+    )
     assert "a" not in gateway.rollouts._accepted
     assert not gateway.pool._idle
     return state
@@ -142,11 +144,11 @@
 async def test_a_new_start_told_with_what_it_has_read() -> None:
     gateway = make_used_gateway()
     parts = [part.id for part in PROMPT.parts[:-1]]
-    gateway.servers.on_holding(Holding("a", SALT, parts[0], 2000))
+    gateway.servers.on_holding(CacheEntry("a", SALT, parts[0], 2000))
     now = trio.current_time()
     # Of its weights nothing was told: what its entry said last is believed.
     assert gateway.table.by_id["a"].weights == {MODEL: 1}
-    assert gateway.holdings.find_holders(SALT, PROMPT, now) == {"a": 1000}
+    assert gateway.holdings.count_tokens_by_server(SALT, PROMPT, now) == {"a": 1000}
 
 
 async def test_late_word_of_the_old_start_changes_nothing() -> None:
@@ -154,7 +156,7 @@
     gateway.table.update(make_server("a", born=2000), 0.0)
     state = gateway.table.by_id["a"]
     gateway.servers.on_notice(ServerNotice("a", MODEL, 9, 5.0, born=1000))
-    gateway.servers.on_holding(Holding("a", SALT, PROMPT.parts[0].id, 1000))
+    gateway.servers.on_holding(CacheEntry("a", SALT, PROMPT.parts[0].id, 1000))
     gateway.table.update(make_server("a", born=1000, weights={MODEL: 9}), 0.0)
     assert gateway.table.note_start("a", 1000, 0.0, {MODEL: 9}) is StartOrder.OLDER
     assert gateway.table.by_id["a"] is state
@@ -215,7 +217,9 @@
     gateway.servers.note_held(place.state, SALT, PROMPT)
     gateway.places.give_back(place)
     assert state.load == Load()
-    assert not gateway.holdings.find_holders(SALT, PROMPT, trio.current_time())
+    assert not gateway.holdings.count_tokens_by_server(
+        SALT, PROMPT, trio.current_time()
+    )
 
 
 async def test_news_carry_the_start() -> None:
@@ -223,7 +227,7 @@
     holdings = [["a", "salt", "part", 1234]]
     digest = decode_news(make_news(notices=notices, holdings=holdings))
     assert digest.notices[0].born == 1234
-    assert digest.holdings[0].born == 1234
+    assert digest.holdings[0].started_ms == 1234
     assert encode_news("i1#1", digest).notices == notices
 
 
--- a/tools/traces.py
+++ b/tools/traces.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Event", "Part", "TRACES", "load_trace", "make_text", "record_traces"]
+__all__ = ["TRACES", "Event", "Part", "load_trace", "make_text", "record_traces"]
 
 import hashlib
 import json
