--- a/ashpond/decisions/cacheindex.py
+++ b/ashpond/decisions/cacheindex.py
@@ -26,9 +26,9 @@
     started_ms: Count | None = None
 
 
-def make_salt(wall: str, model: str, version: int | None) -> str:
+def make_salt(cache_namespace: str, model: str, version: int | None) -> str:
     """Return what separates cached parts: by team wall, model and weights."""
-    return f"{wall}/{model}/{version}"
+    return f"{cache_namespace}/{model}/{version}"
 
 
 class CacheIndex:
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -13,19 +13,19 @@
     "ScoredCandidate",
     "choose_scored",
     "choose_server",
+    "count_shared_tokens",
     "describe_candidate",
     "describe_demand",
     "find_home_ranks",
-    "find_shared_tokens",
-    "keep_for_size",
     "make_load",
+    "parse_candidate",
+    "parse_demand",
     "pick_candidate",
-    "pick_idlest",
+    "pick_least_loaded",
     "rank_homes",
-    "read_candidate",
-    "read_demand",
     "sample_servers",
     "score_candidates",
+    "select_by_prompt_size",
 ]
 
 import random
@@ -40,7 +40,7 @@
 
 # Engines read 57 prompt tokens a ms (site sheets), 50 beside running requests
 # (measured: 0.05 s and 20 us a token from sending to the first event).
-READ_TOKENS_PER_SECOND = 50_000.0
+PREFILL_TOKENS_PER_SECOND = 50_000.0
 # Each running request slows every token by 0.1 ms; some 50 tokens an answer.
 RUNNING_COST_SECONDS = 0.006
 # A plain server at its slots queues the next request for about one answer.
@@ -77,8 +77,8 @@
 SHORT_TOKENS = 2_048
 SHORT_SHARE = 0.2
 # A short prompt elsewhere is slowed down; a long one elsewhere slows many down.
-SHORT_MISFIT_SECONDS = 0.06
-LONG_MISFIT_SECONDS = 0.15
+SHORT_MISMATCH_SECONDS = 0.06
+LONG_MISMATCH_SECONDS = 0.15
 SHORT_KEY = 3
 # Where others' choices are heard of late, one server looks best to all at once: each
 # request looks at so many servers of each kind, drawn at random.
@@ -88,14 +88,14 @@
 class Demand(NamedTuple):
     """What a request needs of a server.
 
-    ``wall`` separates the cached parts of teams that share nothing. ``is_suspected``
-    tells that the request may end its server, with all that runs there.
+    ``cache_namespace`` separates the cached parts of teams that share nothing.
+    ``is_suspected`` tells that the request may end its server, with all that runs there.
     """
 
     service: str
     model: str | None
     prompt: Prompt | None
-    wall: str
+    cache_namespace: str
     excluded: frozenset[str] = frozenset()
     is_resumable: bool = False
     is_suspected: bool = False
@@ -104,11 +104,11 @@
 class Candidate(NamedTuple):
     """A server that may take a request.
 
-    ``held_tokens`` is how much of the prompt it has read already, and
+    ``cached_tokens`` is how much of the prompt it has read already, and
     ``fetch_tokens`` how much another engine or a store has that it can fetch from.
     ``home_rank`` is its place in the order in which servers are home to the
     first part that none has read; ``memory_tokens`` is 0 for a plain server.
-    ``is_for_size`` tells whether it is kept for prompts of such a length;
+    ``matches_prompt_size`` tells whether it is kept for prompts of such a length;
     ``stale_cost`` is what weights count that are not the newest (seconds).
     """
 
@@ -121,10 +121,10 @@
     home_rank: int
     failure_share: float
     is_cold: bool
-    held_tokens: int = 0
+    cached_tokens: int = 0
     fetch_tokens: int = 0
     fetches_from_store: bool = False
-    is_for_size: bool = True
+    matches_prompt_size: bool = True
     stale_cost: float = STALE_COST_SECONDS
 
 
@@ -135,24 +135,24 @@
     candidate: Candidate
 
 
-def find_starts(prompt: Prompt) -> list[int]:
+def find_part_offsets(prompt: Prompt) -> list[int]:
     """Return the token at which each part of a prompt begins."""
-    starts = [0]
+    offsets = [0]
     for part in prompt.parts[:-1]:
-        starts.append(starts[-1] + part.tokens)
-    return starts[: len(prompt.parts)]
+        offsets.append(offsets[-1] + part.tokens)
+    return offsets[: len(prompt.parts)]
 
 
-def find_shared_tokens(prompt: Prompt) -> int:
+def count_shared_tokens(prompt: Prompt) -> int:
     """Return how many tokens of a prompt other prompts may begin with."""
     return sum(part.tokens for part in prompt.parts[:-1])
 
 
 def find_home_ranks(
     prompt: Prompt,
-    wall: str,
+    cache_namespace: str,
     names: Sequence[str],
-    held_tokens: int,
+    cached_tokens: int,
     *,
     are_few: bool = True,
 ) -> dict[str, int]:
@@ -162,20 +162,20 @@
     a part is read once. Among many it is that of the last shared part: one home for
     what all prompts begin with would be overrun.
 
-    :param held_tokens: how much of the prompt some server has read.
+    :param cached_tokens: how much of the prompt some server has read.
     :param are_few: whether the service has few servers.
     """
     shared = prompt.parts[:-1]
     if are_few:
-        starts = find_starts(prompt)
+        offsets = find_part_offsets(prompt)
         shared = tuple(
             part
-            for part, start in zip(shared, starts, strict=False)
-            if start >= held_tokens
+            for part, start in zip(shared, offsets, strict=False)
+            if start >= cached_tokens
         )[:1]
     if not shared:
         return dict.fromkeys(names, 0)
-    ranked = rank_homes(shared[-1].id, wall, names)
+    ranked = rank_homes(shared[-1].id, cache_namespace, names)
     return {name: rank for rank, name in enumerate(ranked)}
 
 
@@ -198,7 +198,7 @@
     }
 
 
-def keep_for_size(prompt: Prompt, names: Sequence[str]) -> list[str]:
+def select_by_prompt_size(prompt: Prompt, names: Sequence[str]) -> list[str]:
     """Return the servers that are kept for prompts of such a length.
 
     All instances agree on them without a message.
@@ -211,30 +211,30 @@
     return ranked[:count] if is_short else ranked[count:]
 
 
-def rank_homes(part: str, wall: str, names: Sequence[str]) -> list[str]:
+def rank_homes(part: str, cache_namespace: str, names: Sequence[str]) -> list[str]:
     """Return the servers in the order in which they are home to a prompt part."""
-    return rank_by_rendezvous(hash_part(wall, part), names)
+    return rank_by_rendezvous(hash_part(cache_namespace, part), names)
 
 
-def hash_part(wall: str, part: str) -> int:
+def hash_part(cache_namespace: str, part: str) -> int:
     """Return the rendezvous key of a prompt part behind a wall."""
-    return xxhash.xxh3_64_intdigest(f"{wall}/{part}".encode())
+    return xxhash.xxh3_64_intdigest(f"{cache_namespace}/{part}".encode())
 
 
-def make_load(demand: Demand, found_tokens: int) -> Load:
+def make_load(demand: Demand, reusable_tokens: int) -> Load:
     """Return the work that a request adds to a server.
 
-    :param found_tokens: how much of the prompt need not be read.
+    :param reusable_tokens: how much of the prompt need not be read.
     """
     bound = 0 if demand.is_resumable else 1
     prompt = demand.prompt
     if prompt is None:
         return Load(1, bound=bound)
-    own = prompt.tokens - find_shared_tokens(prompt)
-    unread = prompt.tokens - found_tokens
+    own_tokens = prompt.tokens - count_shared_tokens(prompt)
+    unread = prompt.tokens - reusable_tokens
     # Shared parts count once for all, so a request claims its own part only.
-    held = max(0, own) + prompt.max_output_tokens
-    return Load(1, max(0, unread), held, bound)
+    memory = max(0, own_tokens) + prompt.max_output_tokens
+    return Load(1, max(0, unread), memory, bound)
 
 
 def is_full(candidate: Candidate, demand: Demand, claim: int) -> bool:
@@ -263,28 +263,28 @@
     if demand.prompt is None:
         seconds = SLOT_COST_SECONDS * (load.requests + 1) / candidate.slots
     else:
-        found = max(candidate.held_tokens, candidate.fetch_tokens)
-        unread = load.unread_tokens + demand.prompt.tokens - found
-        seconds = unread / READ_TOKENS_PER_SECOND
+        reusable = max(candidate.cached_tokens, candidate.fetch_tokens)
+        unread = load.unread_tokens + demand.prompt.tokens - reusable
+        seconds = unread / PREFILL_TOKENS_PER_SECOND
         seconds += load.requests * RUNNING_COST_SECONDS
-        if candidate.fetch_tokens > candidate.held_tokens:
+        if candidate.fetch_tokens > candidate.cached_tokens:
             seconds += FETCH_COST_SECONDS
             if candidate.fetches_from_store:
-                missing = candidate.fetch_tokens - candidate.held_tokens
+                missing = candidate.fetch_tokens - candidate.cached_tokens
                 seconds += missing * STORE_SECONDS_PER_TOKEN
         if candidate.home_rank:
             # Another instance may be having the same parts read at their home.
             if shared is None:
-                shared = find_shared_tokens(demand.prompt)
-            seconds += max(0, shared - found) / READ_TOKENS_PER_SECOND
+                shared = count_shared_tokens(demand.prompt)
+            seconds += max(0, shared - reusable) / PREFILL_TOKENS_PER_SECOND
     if not candidate.is_local:
         is_plain = demand.prompt is None
         seconds += DOMAIN_COST_SECONDS if is_plain else PROMPT_DOMAIN_COST_SECONDS
     if not candidate.has_newest:
         seconds += candidate.stale_cost
-    if not candidate.is_for_size and demand.prompt is not None:
+    if not candidate.matches_prompt_size and demand.prompt is not None:
         is_short = demand.prompt.tokens <= SHORT_TOKENS
-        seconds += SHORT_MISFIT_SECONDS if is_short else LONG_MISFIT_SECONDS
+        seconds += SHORT_MISMATCH_SECONDS if is_short else LONG_MISMATCH_SECONDS
     if candidate.is_cold:
         seconds += COLD_COST_SECONDS
     return seconds + candidate.failure_share * FAILURE_COST_SECONDS
@@ -295,7 +295,7 @@
 ) -> list[ScoredCandidate]:
     """Return the candidates with a free place, the best first."""
     claim = make_load(demand, 0).held_tokens
-    shared = find_shared_tokens(demand.prompt) if demand.prompt else 0
+    shared = count_shared_tokens(demand.prompt) if demand.prompt else 0
     scored = [
         ScoredCandidate(estimate_seconds(candidate, demand, shared), candidate)
         for candidate in candidates
@@ -320,7 +320,7 @@
     return rng.choice([c for c in near if c.home_rank == best_rank])
 
 
-def pick_idlest(scored: Sequence[ScoredCandidate]) -> Candidate | None:
+def pick_least_loaded(scored: Sequence[ScoredCandidate]) -> Candidate | None:
     """Return the candidate with the least work in flight, None if there is none.
 
     For a request that may end its server: with 24 slots, up to 23 others would be lost
@@ -343,7 +343,11 @@
     scored: Sequence[ScoredCandidate], demand: Demand, rng: random.Random
 ) -> Candidate | None:
     """Return the candidate for a request, None if there is none."""
-    return pick_idlest(scored) if demand.is_suspected else pick_candidate(scored, rng)
+    return (
+        pick_least_loaded(scored)
+        if demand.is_suspected
+        else pick_candidate(scored, rng)
+    )
 
 
 def describe_candidate(candidate: Candidate) -> list[Any]:
@@ -353,7 +357,7 @@
     return list(candidate._replace(load=load, failure_share=share))  # type: ignore
 
 
-def read_candidate(fields: list[Any]) -> Candidate:
+def parse_candidate(fields: list[Any]) -> Candidate:
     """Return the candidate that a log line holds."""
     candidate = Candidate(*fields)
     return candidate._replace(load=Load(*candidate.load))
@@ -368,7 +372,7 @@
     return [*described, True] if demand.is_suspected else described
 
 
-def read_demand(fields: list[Any]) -> Demand:
+def parse_demand(fields: list[Any]) -> Demand:
     """Return the demand that a log line holds; its parts have sizes only."""
     service, model, is_resumable, tokens, *rest = fields
     prompt = None
--- a/ashpond/gateway/explanations.py
+++ b/ashpond/gateway/explanations.py
@@ -13,8 +13,8 @@
 from ashpond.decisions.selection import (
     choose_server,
     estimate_seconds,
-    read_candidate,
-    read_demand,
+    parse_candidate,
+    parse_demand,
 )
 
 Line = dict[str, Any]
@@ -163,8 +163,8 @@
         if line["event"] != "sent" or "candidates" not in line:
             continue
         count += 1
-        demand = read_demand(line["demand"])
-        candidates = [read_candidate(fields) for fields in line["candidates"]]
+        demand = parse_demand(line["demand"])
+        candidates = [parse_candidate(fields) for fields in line["candidates"]]
         chosen = choose_server(candidates, demand, random.Random(0))
         if chosen is None:
             changed.append((line["id"], line["server"], "none"))
--- a/ashpond/gateway/places.py
+++ b/ashpond/gateway/places.py
@@ -24,13 +24,13 @@
     Candidate,
     Demand,
     choose_scored,
+    count_shared_tokens,
     find_home_ranks,
-    find_shared_tokens,
-    keep_for_size,
     make_load,
     rank_homes,
     sample_servers,
     score_candidates,
+    select_by_prompt_size,
 )
 from ashpond.gateway.promptsources import PromptSources, find_sources
 
@@ -215,7 +215,7 @@
         if chosen is None:
             return None
         state = states[chosen.id]
-        found = max(chosen.held_tokens, chosen.fetch_tokens)
+        found = max(chosen.cached_tokens, chosen.fetch_tokens)
         load = make_load(demand, found)
         state.load = state.load.add(load)
         best = [entry.candidate for entry in scored[:LOGGED_CANDIDATES]]
@@ -227,8 +227,8 @@
         salt = sources.salts[chosen.id]
         source = sources.choose(state.info)
         address = source.address if source else None
-        is_missing = found < find_shared_tokens(demand.prompt)
-        store = self.stores.pick(demand.prompt, demand.wall)
+        is_missing = found < count_shared_tokens(demand.prompt)
+        store = self.stores.pick(demand.prompt, demand.cache_namespace)
         if is_missing and store is not None and not store.knows_all:
             # An instance that has just started hears of what is saved from now on; the
             # store mostly holds what others read before.
@@ -240,7 +240,7 @@
             weights_version=state.weights.get(demand.model),
             salt=salt,
             fetch_from=address,
-            held_tokens=chosen.held_tokens,
+            held_tokens=chosen.cached_tokens,
             fetch_tokens=chosen.fetch_tokens,
             save_to=store.store.address if saves and store else None,
         )
@@ -279,10 +279,10 @@
         if demand.prompt is None or len(demand.prompt.parts) < 2 or not fitting:
             return set()
         most = max(sources.held.values(), default=0)
-        if most < find_shared_tokens(demand.prompt):
+        if most < count_shared_tokens(demand.prompt):
             part = demand.prompt.parts[-2].id
             homes = _list_homes(states, sorted(fitting))
-            return {rank_homes(part, demand.wall, homes)[0]}
+            return {rank_homes(part, demand.cache_namespace, homes)[0]}
         holders = [name for name, held in sources.held.items() if held == most]
         return {self._rng.choice(sorted(holders))}
 
@@ -291,7 +291,7 @@
     ) -> list[str]:
         """Return the usable servers that are kept for prompts of such a length."""
         there = [s.info.id for s in self.table.list_service(service) if s.is_present()]
-        kept = [name for name in keep_for_size(prompt, there) if name in states]
+        kept = [name for name in select_by_prompt_size(prompt, there) if name in states]
         return kept or list(states)
 
     def _guess_holder(
@@ -319,7 +319,7 @@
             return None
         shared = demand.prompt.parts[:-1]
         for part in (shared[-1], shared[0]):
-            home = rank_homes(part.id, demand.wall, names)[0]
+            home = rank_homes(part.id, demand.cache_namespace, names)[0]
             if home != chosen.id:
                 return states[home].info.address
         return None
@@ -343,7 +343,7 @@
             kept = self._list_kept(states, demand.prompt, demand.service)
             homes = _list_homes(states, kept)
             ranks = find_home_ranks(
-                demand.prompt, demand.wall, homes, most, are_few=not is_many
+                demand.prompt, demand.cache_namespace, homes, most, are_few=not is_many
             )
         wanted = self._find_wanted(demand.model, now) if demand.model else 0
         fitting = set(kept)
@@ -366,10 +366,10 @@
                     home_rank=ranks.get(server_id, len(ranks)),
                     failure_share=state.failure_share,
                     is_cold=now < state.cold_until,
-                    held_tokens=sources.held.get(server_id, 0),
+                    cached_tokens=sources.held.get(server_id, 0),
                     fetch_tokens=source.tokens if source else 0,
                     fetches_from_store=bool(source and source.is_store),
-                    is_for_size=server_id in fitting,
+                    matches_prompt_size=server_id in fitting,
                     stale_cost=stale_cost,
                 )
             )
--- a/ashpond/gateway/promptsources.py
+++ b/ashpond/gateway/promptsources.py
@@ -71,7 +71,9 @@
         return found
     for server_id, state in states.items():
         version = state.weights.get(demand.model)
-        found.salts[server_id] = make_salt(demand.wall, demand.model, version)
+        found.salts[server_id] = make_salt(
+            demand.cache_namespace, demand.model, version
+        )
     for salt in set(found.salts.values()):
         holders = holdings.count_tokens_by_server(salt, demand.prompt, now)
         here = {s: t for s, t in holders.items() if found.salts.get(s) == salt}
@@ -90,7 +92,7 @@
     """Return those that hold most of a prompt under a salt; engines first."""
     if demand.prompt is None:
         return []
-    contents = stores.pick(demand.prompt, demand.wall)
+    contents = stores.pick(demand.prompt, demand.cache_namespace)
     stored = contents.count_tokens(salt, demand.prompt) if contents else 0
     most = max(stored, *holders.values(), 0) if holders else stored
     if not most:
--- a/ashpond/lossreport.py
+++ b/ashpond/lossreport.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from ashpond.decisions.selection import read_candidate, read_demand
+from ashpond.decisions.selection import parse_candidate, parse_demand
 
 Line = dict[str, Any]
 # Losses are counted by spans of the logs' time (seconds).
@@ -118,8 +118,8 @@
 
 def _find_reading_cause(sent: Line) -> Cause:
     """Return the largest part of what the engine had to read before it answered."""
-    demand = read_demand(sent["demand"])
-    candidates = [read_candidate(fields) for fields in sent["candidates"]]
+    demand = parse_demand(sent["demand"])
+    candidates = [parse_candidate(fields) for fields in sent["candidates"]]
     chosen = next((c for c in candidates if c.id == sent["server"]), None)
     if demand.prompt is None or chosen is None:
         return Cause.QUEUED
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -13,7 +13,7 @@
 
 def make_sent(server: str, **changes: object) -> dict[str, object]:
     candidates = [
-        make_candidate("a", held_tokens=2000),
+        make_candidate("a", cached_tokens=2000),
         make_candidate("b", failure_share=0.5),
     ]
     line: dict[str, object] = {
--- a/tests/test_gateway_selection.py
+++ b/tests/test_gateway_selection.py
@@ -19,9 +19,9 @@
     SHORT_SHARE,
     choose_server,
     find_home_ranks,
-    keep_for_size,
     make_load,
     rank_homes,
+    select_by_prompt_size,
 )
 from ashpond.gateway.places import Place
 from tests.gateway_builders import (
@@ -56,13 +56,13 @@
 
 def test_the_engine_that_has_read_the_shared_parts_is_chosen() -> None:
     prompt = make_prompt()
-    reader = make_candidate("a", held_tokens=2000, load=Load(2))
+    reader = make_candidate("a", cached_tokens=2000, load=Load(2))
     assert choose(reader, make_candidate("b"), prompt=prompt) == "a"
 
 
 def test_a_crowd_at_the_reader_is_worth_a_fetch() -> None:
     prompt = make_prompt()
-    reader = make_candidate("a", held_tokens=2000, load=Load(8, 20_000, 9000))
+    reader = make_candidate("a", cached_tokens=2000, load=Load(8, 20_000, 9000))
     other = make_candidate("b", fetch_tokens=2000)
     assert choose(reader, other, prompt=prompt) == "b"
 
@@ -137,7 +137,7 @@
         for n in range(FEW_SERVERS + 4)
     ]
     prompt = make_prompt()
-    names = keep_for_size(prompt, [server.id for server in servers])
+    names = select_by_prompt_size(prompt, [server.id for server in servers])
     by_id = {server.id: server for server in servers}
     home = rank_homes("shop", "shared", names)[0]
     first = rank_homes("rules", "shared", names)[0]
@@ -168,15 +168,18 @@
 def test_many_servers_are_shared_out_by_the_length_of_prompts() -> None:
     names = [f"s{n}" for n in range(20)]
     short, long = (
-        set(keep_for_size(prompt, names)) for prompt in (make_short(), make_prompt())
+        set(select_by_prompt_size(prompt, names))
+        for prompt in (make_short(), make_prompt())
     )
     assert len(short) == round(20 * SHORT_SHARE)
     assert short | long == set(names)
     assert not short & long
-    assert keep_for_size(make_short(), names[::-1]) == keep_for_size(
+    assert select_by_prompt_size(make_short(), names[::-1]) == select_by_prompt_size(
         make_short(), names
     )
-    assert keep_for_size(make_prompt(), names[:FEW_SERVERS]) == names[:FEW_SERVERS]
+    assert (
+        select_by_prompt_size(make_prompt(), names[:FEW_SERVERS]) == names[:FEW_SERVERS]
+    )
 
 
 async def test_long_prompts_leave_the_servers_of_short_ones_alone() -> None:
@@ -184,7 +187,7 @@
     servers = [make_server(f"s{n}") for n in range(20)]
     table = make_table(*servers)
     places = make_places(table)
-    short = set(keep_for_size(make_short(), [server.id for server in servers]))
+    short = set(select_by_prompt_size(make_short(), [server.id for server in servers]))
     now = trio.current_time()
     for number in range(40):
         prompts = (make_short(), make_prompt("rules", f"shop{number}", "own"))
