--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -19,7 +19,7 @@
 from ashpond.controllers.crashdetection import CrashEvidence, WatchedServer
 from ashpond.decisions.caches import CacheView
 from ashpond.decisions.health import ServerHealth, select_usable
-from ashpond.decisions.placement import Candidate, LoadReport, estimate_start
+from ashpond.decisions.placement import Candidate, LoadReport, estimate_prefill_wait
 
 if TYPE_CHECKING:
     from ashpond.configuration import BackendServerConfig
@@ -263,7 +263,7 @@
                 own_tokens=own.own_tokens * instances,
                 own_requests=own.own_requests * instances,
             )
-            waits.append(estimate_start(assumed, now))
+            waits.append(estimate_prefill_wait(assumed, now))
         return min(waits, default=0.0)
 
     def count_places(self, service: str, declared: int) -> list[int]:
--- a/ashpond/decisions/placement.py
+++ b/ashpond/decisions/placement.py
@@ -7,14 +7,14 @@
 from __future__ import annotations
 
 __all__ = [
-    "HOME_TRUST",
-    "SAMPLED_HOME_TRUST",
+    "PRESUMED_HOME_SHARE",
+    "SAMPLED_PRESUMED_HOME_SHARE",
     "Candidate",
+    "ChosenEngine",
     "LoadReport",
-    "Placed",
     "choose_engine",
     "choose_least_loaded",
-    "estimate_start",
+    "estimate_prefill_wait",
     "rank_by_rendezvous",
 ]
 
@@ -27,11 +27,11 @@
 from ashpond.identity import BLOCK_CHARS, CHARS_PER_TOKEN, PrefixChain
 
 BLOCK_TOKENS = BLOCK_CHARS // CHARS_PER_TOKEN
-CROSS_DOMAIN_SECONDS = 0.002
-MAX_DELAYED = 8.0
+CROSS_DOMAIN_COST_SECONDS = 0.002
+MAX_DELAYED_REQUESTS = 8.0
 EVICTION_COST = 1.0
-HOME_TRUST = 0.5
-SAMPLED_HOME_TRUST = 0.95
+PRESUMED_HOME_SHARE = 0.5
+SAMPLED_PRESUMED_HOME_SHARE = 0.95
 TIE_SECONDS = 0.004
 DEFAULT_PREFILL_RATE = 8000.0
 DEFAULT_REQUEST_SECONDS = 0.5
@@ -74,7 +74,7 @@
     cached_blocks: int = 0
 
 
-class Placed(NamedTuple):
+class ChosenEngine(NamedTuple):
     """The chosen engine, and what was expected of it."""
 
     name: str
@@ -105,15 +105,15 @@
     return homes
 
 
-def estimate_start(candidate: Candidate, now: float) -> float:
+def estimate_prefill_wait(candidate: Candidate, now: float) -> float:
     """Return the seconds until the engine would begin to prefill a new prompt."""
     report = candidate.report
     if report is None:
         tokens = candidate.own_tokens
         return tokens / DEFAULT_PREFILL_RATE
     age = max(0.0, now - report.observed_at)
-    worked_off = age * report.prefill_rate
-    queued = max(0.0, report.waiting_tokens - worked_off) + candidate.own_tokens
+    prefilled = age * report.prefill_rate
+    queued = max(0.0, report.waiting_tokens - prefilled) + candidate.own_tokens
     wait = queued / report.prefill_rate
     occupied = report.running + report.waiting + candidate.own_requests
     excess = occupied + 1 - report.max_running
@@ -129,14 +129,14 @@
     failure_domain: str,
     now: float,
     rng: random.Random,
-    home_trust: float = HOME_TRUST,
-) -> Placed | None:
+    presumed_home_share: float = PRESUMED_HOME_SHARE,
+) -> ChosenEngine | None:
     """Return the engine with the least expected time to the first token.
 
     Without any evidence, the homes of the prompt's levels are presumed to hold
     them, so that instances that know nothing agree with one another.
 
-    :param home_trust: the share of a level that its home is presumed to hold.
+    :param presumed_home_share: the share of a level that its home is presumed to hold.
         It is higher where only a sample of the cache events is seen, as missing
         evidence then means little.
     """
@@ -144,25 +144,31 @@
         return None
     best_known = max(candidate.cached_blocks for candidate in candidates)
     homes = find_homes(chain, [candidate.name for candidate in candidates])
-    delayed = estimate_delayed(candidates)
+    delayed_requests = estimate_delayed_requests(candidates)
     scored = []
     for candidate in candidates:
         presumed = homes.get(candidate.name, 0)
         cached = float(candidate.cached_blocks)
         if presumed > best_known:
-            cached = max(cached, presumed * home_trust)
+            cached = max(cached, presumed * presumed_home_share)
         wasted = max(0.0, best_known - cached)
         score = _score(
-            candidate, cached, wasted, prompt_tokens, failure_domain, delayed, now
+            candidate,
+            cached,
+            wasted,
+            prompt_tokens,
+            failure_domain,
+            delayed_requests,
+            now,
         )
         scored.append((score, candidate, presumed, int(cached)))
     least = min(score for score, *_ in scored)
     near = [entry for entry in scored if entry[0] <= least + TIE_SECONDS]
     score, winner, _, cached_blocks = _break_tie(near, rng)
-    return Placed(winner.name, score, cached_blocks)
+    return ChosenEngine(winner.name, score, cached_blocks)
 
 
-def estimate_delayed(candidates: Sequence[Candidate]) -> float:
+def estimate_delayed_requests(candidates: Sequence[Candidate]) -> float:
     """Return how many requests wait behind an average prefill.
 
     Tokens computed anew delay those as well, so under load a cached prefix is
@@ -172,7 +178,7 @@
         (candidate.report.waiting if candidate.report else 0) + candidate.own_requests
         for candidate in candidates
     ]
-    return min(MAX_DELAYED, sum(waiting) / len(waiting))
+    return min(MAX_DELAYED_REQUESTS, sum(waiting) / len(waiting))
 
 
 def _score(
@@ -181,7 +187,7 @@
     wasted_blocks: float,
     prompt_tokens: int,
     failure_domain: str,
-    delayed: float,
+    delayed_requests: float,
     now: float,
 ) -> float:
     rate = DEFAULT_PREFILL_RATE
@@ -189,11 +195,11 @@
         rate = candidate.report.prefill_rate
     uncached = max(0.0, prompt_tokens - cached_blocks * BLOCK_TOKENS)
     prefill = uncached / rate
-    seconds = estimate_start(candidate, now) + prefill * (1 + delayed)
+    seconds = estimate_prefill_wait(candidate, now) + prefill * (1 + delayed_requests)
     # A second copy pushes out as many blocks, which others will miss later.
     seconds += EVICTION_COST * wasted_blocks * BLOCK_TOKENS / rate
     if candidate.failure_domain != failure_domain:
-        seconds += CROSS_DOMAIN_SECONDS
+        seconds += CROSS_DOMAIN_COST_SECONDS
     return seconds
 
 
@@ -223,4 +229,4 @@
 def _measure_load(candidate: Candidate, now: float) -> tuple[float, int]:
     report = candidate.report
     reported = report.running + report.waiting if report else 0
-    return estimate_start(candidate, now), reported + candidate.own_requests
+    return estimate_prefill_wait(candidate, now), reported + candidate.own_requests
--- a/ashpond/filters/placement.py
+++ b/ashpond/filters/placement.py
@@ -12,10 +12,10 @@
 import trio
 
 from ashpond.decisions.placement import (
-    HOME_TRUST,
-    SAMPLED_HOME_TRUST,
+    PRESUMED_HOME_SHARE,
+    SAMPLED_PRESUMED_HOME_SHARE,
     Candidate,
-    Placed,
+    ChosenEngine,
     choose_engine,
     choose_least_loaded,
     rank_by_rendezvous,
@@ -54,7 +54,9 @@
     """
     counter = itertools.count()
     is_sampled = settings.cache_event_sample > 1
-    home_trust = SAMPLED_HOME_TRUST if is_sampled else HOME_TRUST
+    presumed_home_share = (
+        SAMPLED_PRESUMED_HOME_SHARE if is_sampled else PRESUMED_HOME_SHARE
+    )
 
     def place(call: Call, skip: set[str]) -> Placement | None:
         usable = engines.list_usable(call.service_name, skip)
@@ -79,7 +81,7 @@
 
     def choose(
         call: Call, candidates: list[Candidate], chains: dict[str, PrefixChain]
-    ) -> Placed:
+    ) -> ChosenEngine:
         now = trio.current_time()
         if call.is_suspected:
             # Whatever runs beside it may be lost with the server.
@@ -99,7 +101,7 @@
                 settings.failure_domain,
                 now,
                 rng,
-                home_trust,
+                presumed_home_share,
             )
             assert placed is not None
             return placed
@@ -110,9 +112,9 @@
     return place
 
 
-def expect(candidate: Candidate) -> Placed:
+def expect(candidate: Candidate) -> ChosenEngine:
     """Return a placement that was not chosen by expected times."""
-    return Placed(candidate.name, 0.0, candidate.cached_blocks)
+    return ChosenEngine(candidate.name, 0.0, candidate.cached_blocks)
 
 
 def choose_by_hash(candidates: list[Candidate], chain: PrefixChain) -> Candidate:
