--- a/ashpond/api/admin.py
+++ b/ashpond/api/admin.py
@@ -192,4 +192,4 @@
         return "leaving"
     if state.health.ejected_until > trio.current_time():
         return "ejected"
-    return "usable" if state.health.allows_work(trio.current_time()) else "silent"
+    return "usable" if state.health.is_usable(trio.current_time()) else "silent"
--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -80,7 +80,7 @@
             )
         self.view.resize(report.cache_blocks)
         self.report = report
-        self.health.note_heard(now)
+        self.health.note_report(now)
 
     def describe(self, blocks: tuple[int, ...]) -> Candidate:
         """Return what placement reads of this server."""
@@ -188,7 +188,7 @@
     async def _poll_plain(self, state: ServerState) -> None:
         draining = await fetch_draining(self._client, state.config.address)
         if draining is not None:
-            state.health.note_heard(trio.current_time())
+            state.health.note_report(trio.current_time())
             self._set_draining(state, draining)
 
     def _set_draining(self, state: ServerState, own_word: bool) -> None:
@@ -272,7 +272,7 @@
         return [
             state.report.max_running if state.report else declared
             for state in self.list_of_service(service)
-            if state.health.allows_work(now) and state.config.role == "serve"
+            if state.health.is_usable(now) and state.config.role == "serve"
         ]
 
     def note_sent(self, name: str, tokens: int, blocks: tuple[int, ...]) -> InFlight:
@@ -342,7 +342,7 @@
     def is_silent(self, name: str) -> bool:
         """Return whether a server has not reported for a while, or is gone."""
         state = self.servers.get(name)
-        return state is None or not state.health.is_heard(trio.current_time())
+        return state is None or not state.health.is_reporting(trio.current_time())
 
     def abandon_probe(self, name: str) -> None:
         """Record that an attempt was given up by the caller."""
--- a/ashpond/controllers/rollout.py
+++ b/ashpond/controllers/rollout.py
@@ -120,5 +120,5 @@
     report = state.report
     if report is None:
         return EngineWeights(state.name, "", "", False)
-    usable = state.health.allows_work(now)
+    usable = state.health.is_usable(now)
     return EngineWeights(state.name, report.weights, report.loading, usable)
--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -24,7 +24,7 @@
 OnLimit = Callable[["ServerState", float | None], None]
 MISDIRECTED = 421
 # A longer backoff is kept for so long (seconds).
-MOST_BACKOFF_SECONDS = 3600.0
+MAX_BACKOFF_SECONDS = 3600.0
 # Instances that were rejected together return one after the other: each up to this
 # share of the backoff later, and no more than so many seconds.
 SPREAD_SHARE = 0.1
@@ -152,7 +152,7 @@
         if marks.backoff is None:
             return
         now = trio.current_time()
-        seconds = min(marks.backoff, MOST_BACKOFF_SECONDS)
+        seconds = min(marks.backoff, MAX_BACKOFF_SECONDS)
         spread = self._rng.uniform(0, min(MOST_SPREAD_SECONDS, seconds * SPREAD_SHARE))
         until = now + seconds + spread
         if until > state.backoff_until:
--- a/ashpond/decisions/health.py
+++ b/ashpond/decisions/health.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping, Sequence
 
 FAILURES_TO_EJECT = 3
-EJECT_SECONDS = 1.0
-EJECT_LIMIT_SECONDS = 15.0
-SILENCE_SECONDS = 3.0
+MIN_EJECT_SECONDS = 1.0
+MAX_EJECT_SECONDS = 15.0
+REPORT_TIMEOUT_SECONDS = 3.0
 # A longer backoff is kept for so long.
-MOST_BACKOFF_SECONDS = 3600.0
+MAX_BACKOFF_SECONDS = 3600.0
 
 
 class ServerHealth:
@@ -25,7 +25,7 @@
         self.draining = False
         # Until when the server wants no request from this instance.
         self.backoff_until = 0.0
-        self.last_heard = now
+        self.last_seen = now
 
     def note_answer(self, now: float) -> None:
         """Record an answer to a request: the server works."""
@@ -33,11 +33,11 @@
         self.ejections = 0
         self.ejected_until = 0.0
         self.probing = False
-        self.last_heard = now
+        self.last_seen = now
 
-    def note_heard(self, now: float) -> None:
+    def note_report(self, now: float) -> None:
         """Record a load report, which does not prove that requests work."""
-        self.last_heard = now
+        self.last_seen = now
 
     def note_failure(self, now: float, *, refused: bool) -> bool:
         """Record a failed attempt; return whether the server is now ejected.
@@ -49,30 +49,30 @@
         if not refused and self.failures < FAILURES_TO_EJECT and not self.ejections:
             return False
         self.ejections += 1
-        pause = EJECT_SECONDS * 2 ** (self.ejections - 1)
-        self.ejected_until = now + min(pause, EJECT_LIMIT_SECONDS)
+        pause = MIN_EJECT_SECONDS * 2 ** (self.ejections - 1)
+        self.ejected_until = now + min(pause, MAX_EJECT_SECONDS)
         return True
 
     def note_backoff(self, now: float, seconds: float) -> None:
         """Record for how long the server wants no request; the longest word counts."""
-        until = now + min(seconds, MOST_BACKOFF_SECONDS)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
         self.backoff_until = max(self.backoff_until, until)
 
-    def is_kept_out(self, now: float) -> bool:
+    def declines_requests(self, now: float) -> bool:
         """Return whether the server itself has said that it takes no new work now."""
         return self.draining or now < self.backoff_until
 
-    def allows_work(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Return whether the server may get a request, or one as a probe."""
-        if self.is_kept_out(now):
+        if self.declines_requests(now):
             return False
         if now < self.ejected_until or self.probing:
             return False
-        return self.is_heard(now)
+        return self.is_reporting(now)
 
-    def is_heard(self, now: float) -> bool:
+    def is_reporting(self, now: float) -> bool:
         """Return whether the server has reported or answered lately."""
-        return now - self.last_heard < SILENCE_SECONDS
+        return now - self.last_seen < REPORT_TIMEOUT_SECONDS
 
     def abandon_probe(self) -> None:
         """Record that a request ended early and proved nothing."""
@@ -93,7 +93,7 @@
     look bad at once, the sign is more likely wrong than the servers are: then
     those that still report are used, or else every one.
     """
-    staying = [name for name in names if not health[name].is_kept_out(now)]
-    usable = [name for name in staying if health[name].allows_work(now)]
-    heard = [name for name in staying if health[name].is_heard(now)]
-    return usable or heard or staying
+    accepting = [name for name in names if not health[name].declines_requests(now)]
+    usable = [name for name in accepting if health[name].is_usable(now)]
+    reporting = [name for name in accepting if health[name].is_reporting(now)]
+    return usable or reporting or accepting
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -69,18 +69,18 @@
 def test_an_ejected_server_gets_one_probe_and_comes_back():
     state = ServerHealth(0.0)
     assert state.note_failure(0.0, refused=True)
-    assert not state.allows_work(0.5)
-    assert state.allows_work(1.5)
+    assert not state.is_usable(0.5)
+    assert state.is_usable(1.5)
     state.note_sent()
-    assert not state.allows_work(1.5)
+    assert not state.is_usable(1.5)
     state.note_answer(1.6)
-    assert state.allows_work(1.6)
+    assert state.is_usable(1.6)
 
 
 def test_a_silent_server_gets_no_work():
     state = ServerHealth(0.0)
-    assert state.allows_work(2.9)
-    assert not state.allows_work(3.1)
+    assert state.is_usable(2.9)
+    assert not state.is_usable(3.1)
 
 
 def test_limits_are_shared_by_demand_and_fall_back_to_the_even_part():
