--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -11,7 +11,11 @@
 import trio
 
 from ashpond.clients.retryafter import REJECTIONS
-from ashpond.decisions.ratelimits import NEWS_SECONDS, weigh_limit, weigh_told_limit
+from ashpond.decisions.ratelimits import (
+    MAX_UPDATE_AGE_SECONDS,
+    update_limit,
+    update_limit_from_peer,
+)
 from ashpond.news.items import MAX_CLOSED_SECONDS, LimitNotice, ServerNotice
 
 if TYPE_CHECKING:
@@ -86,7 +90,7 @@
 
     def _take_limit_notice(self, state: ServerState, limit: LimitNotice) -> None:
         now = trio.current_time()
-        weighed = weigh_told_limit(state.rate_limit, limit.rate, limit.age, now)
+        weighed = update_limit_from_peer(state.rate_limit, limit.rate, limit.age, now)
         self._adopt(state, weighed, "peer")
 
     def _take_limit(
@@ -103,7 +107,7 @@
             return
         now = trio.current_time()
         known = state.rate_limit
-        weighed = weigh_limit(known, marks.rate_limit, sent_at, now)
+        weighed = update_limit(known, marks.rate_limit, sent_at, now)
         self._adopt(state, weighed, "answer")
         if weighed.rate == known.rate:
             self._confirm(state, sent_at, now)
@@ -119,7 +123,7 @@
         the first notice: it cannot tell which of the two is older.
         """
         raised_at = state.limit_raised_at
-        if raised_at is not None and sent_at >= raised_at + 2 * NEWS_SECONDS:
+        if raised_at is not None and sent_at >= raised_at + 2 * MAX_UPDATE_AGE_SECONDS:
             state.limit_raised_at = None
             self._tell_limit(state, now - sent_at)
 
--- a/ashpond/decisions/ratelimits.py
+++ b/ashpond/decisions/ratelimits.py
@@ -9,8 +9,8 @@
     "RateLimit",
     "make_allowance",
     "plan_pause",
-    "weigh_limit",
-    "weigh_told_limit",
+    "update_limit",
+    "update_limit_from_peer",
 ]
 
 import math
@@ -28,17 +28,17 @@
 SERVER_BOUNDS = AllowanceBounds(window=4.0, overage=0.5, slack=4.0)
 # A server whose limit is lower still gets so much (requests a second): only an answer
 # tells that the limit has ended.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 # A permit that has not been used lapses (seconds).
 PERMIT_SECONDS = RETURN_SECONDS
 # News from peers may be so old when they arrive (seconds).
-NEWS_SECONDS = 1.0
+MAX_UPDATE_AGE_SECONDS = 1.0
 # After a refusal the next permit is asked for when there should be one, and after each
 # further refusal in a row half as late again, up to this (seconds).
-LEAST_PAUSE_SECONDS = 0.1
-MOST_PAUSE_SECONDS = 15.0
+MIN_PAUSE_SECONDS = 0.1
+MAX_PAUSE_SECONDS = 15.0
 PAUSE_FACTOR = 1.5
-MOST_STEPS = 12
+MAX_PAUSE_STEPS = 12
 
 
 class RateLimit(NamedTuple):
@@ -55,7 +55,7 @@
 NO_LIMIT = RateLimit()
 
 
-def weigh_limit(
+def update_limit(
     known: RateLimit, rate: float | None, sent_at: float, now: float
 ) -> RateLimit:
     """Return the limit that holds after an answer.
@@ -75,7 +75,7 @@
     return known
 
 
-def weigh_told_limit(
+def update_limit_from_peer(
     known: RateLimit, rate: float | None, age: float, now: float
 ) -> RateLimit:
     """Return the limit that holds after a notice of a peer.
@@ -86,15 +86,15 @@
     :param age: how long before the notice the request was sent whose answer it
         tells of (seconds).
     """
-    told_at = now - age
-    if known.rate is None and told_at < known.seen_at:
+    sent_at = now - age
+    if known.rate is None and sent_at < known.seen_at:
         return known
-    return weigh_limit(known, rate, told_at - NEWS_SECONDS, now)
+    return update_limit(known, rate, sent_at - MAX_UPDATE_AGE_SECONDS, now)
 
 
 def make_allowance(rate: float) -> Allowance:
     """Return what all instances together may send to a server."""
-    return Allowance(max(rate, LEAST_RATE), unit=AllowanceUnit.SERVER_REQUESTS)
+    return Allowance(max(rate, MIN_RATE), unit=AllowanceUnit.SERVER_REQUESTS)
 
 
 def plan_pause(retry_after: float | None, refusals: int, draw: float) -> float:
@@ -107,6 +107,6 @@
     :param refusals: how many there have been in a row.
     :param draw: a random number from 0 to 1, so that not all ask at once.
     """
-    pause = max(LEAST_PAUSE_SECONDS, retry_after or 0.0)
-    pause *= PAUSE_FACTOR ** min(refusals - 1, MOST_STEPS)
-    return min(pause, MOST_PAUSE_SECONDS) * (1 + draw) / 2
+    pause = max(MIN_PAUSE_SECONDS, retry_after or 0.0)
+    pause *= PAUSE_FACTOR ** min(refusals - 1, MAX_PAUSE_STEPS)
+    return min(pause, MAX_PAUSE_SECONDS) * (1 + draw) / 2
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -89,7 +89,8 @@
     """What a request needs of a server.
 
     ``cache_namespace`` separates the cached parts of teams that share nothing.
-    ``is_suspected`` tells that the request may end its server, with all that runs there.
+    ``is_suspected`` tells that the request may end its server, with all that runs
+    there.
     """
 
     service: str
--- a/tests/test_ratelimits.py
+++ b/tests/test_ratelimits.py
@@ -6,32 +6,34 @@
 
 from ashpond.decisions.allowances import MARGIN_SECONDS, plan_pace
 from ashpond.decisions.ratelimits import (
-    MOST_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
     NO_LIMIT,
     SERVER_BOUNDS,
     RateLimit,
     make_allowance,
     plan_pause,
-    weigh_limit,
-    weigh_told_limit,
+    update_limit,
+    update_limit_from_peer,
 )
 
 
 def test_a_lower_limit_holds_at_once() -> None:
     known = RateLimit(5.0, 10.0)
-    assert weigh_limit(known, 2.0, sent_at=1.0, now=11.0) == RateLimit(2.0, 11.0)
+    assert update_limit(known, 2.0, sent_at=1.0, now=11.0) == RateLimit(2.0, 11.0)
 
 
 def test_an_older_answer_that_is_read_last_raises_and_lifts_no_limit() -> None:
     known = RateLimit(2.0, 10.0)
     for rate in (5.0, None):
-        assert weigh_limit(known, rate, sent_at=9.9, now=11.0) == known
+        assert update_limit(known, rate, sent_at=9.9, now=11.0) == known
 
 
 def test_a_later_answer_raises_or_lifts_a_limit() -> None:
     known = RateLimit(2.0, 10.0)
     for rate in (5.0, None):
-        assert weigh_limit(known, rate, sent_at=10.0, now=11.0) == RateLimit(rate, 11.0)
+        assert update_limit(known, rate, sent_at=10.0, now=11.0) == RateLimit(
+            rate, 11.0
+        )
 
 
 @given(
@@ -48,30 +50,32 @@
     answers: list[tuple[float, float | None, float]],
 ) -> None:
     """A server lowers its limit at 10 s: whatever was sent before changes nothing."""
-    known = weigh_limit(NO_LIMIT, 1.0, sent_at=10.0, now=10.0)
+    known = update_limit(NO_LIMIT, 1.0, sent_at=10.0, now=10.0)
     at = 10.0
     for sent_at, rate, gap in answers:
         at += gap
-        known = weigh_limit(known, rate, sent_at, at)
+        known = update_limit(known, rate, sent_at, at)
         assert known.rate is not None
         assert known.rate <= 1.0
 
 
 def test_a_peers_word_of_a_limit_that_an_answer_here_has_lifted_since() -> None:
     known = RateLimit(None, 10.0)
-    assert weigh_told_limit(known, 2.0, age=0.6, now=10.5) == known
-    assert weigh_told_limit(known, 2.0, age=0.4, now=10.5) == RateLimit(2.0, 10.5)
+    assert update_limit_from_peer(known, 2.0, age=0.6, now=10.5) == known
+    assert update_limit_from_peer(known, 2.0, age=0.4, now=10.5) == RateLimit(2.0, 10.5)
 
 
 def test_a_peers_word_lifts_a_limit_only_if_it_is_surely_later() -> None:
     known = RateLimit(2.0, 10.0)
-    assert weigh_told_limit(known, None, age=0.0, now=10.9) == known
-    assert weigh_told_limit(known, None, age=0.0, now=11.1) == RateLimit(None, 11.1)
+    assert update_limit_from_peer(known, None, age=0.0, now=10.9) == known
+    assert update_limit_from_peer(known, None, age=0.0, now=11.1) == RateLimit(
+        None, 11.1
+    )
 
 
 @given(st.floats(0, 1e6), st.integers(1, 1000), st.floats(0, 1))
 def test_pauses_end(retry_after: float, refusals: int, draw: float) -> None:
-    assert 0 < plan_pause(retry_after, refusals, draw) <= MOST_PAUSE_SECONDS
+    assert 0 < plan_pause(retry_after, refusals, draw) <= MAX_PAUSE_SECONDS
 
 
 @given(st.floats(0, 1e18))
