--- a/ashpond/decisions/loadingplaces.py
+++ b/ashpond/decisions/loadingslots.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["count_loading_places"]
+__all__ = ["count_loading_slots"]
 
 # Of the engines that work, this share may be loading; the rest carries the traffic.
 # Loads take longer when more than that run at once (site sheets: 2 of 5, 18 of 45).
@@ -15,7 +15,7 @@
 WORKING_SHARE = 0.75
 
 
-def count_loading_places(engines: int, working: int) -> int:
+def count_loading_slots(engines: int, working: int) -> int:
     """Return how many of ``engines`` may load while ``working`` of them work."""
     if working < engines * WORKING_SHARE:
         return 0
--- a/ashpond/gateway/rollouts.py
+++ b/ashpond/gateway/rollouts.py
@@ -14,8 +14,8 @@
 from ashpond.controllers.orderlease import OrderLease
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.leases import Lease, make_lease_terms
-from ashpond.decisions.loadingplaces import count_loading_places
-from ashpond.decisions.orderends import OrderEnds
+from ashpond.decisions.loadingslots import count_loading_slots
+from ashpond.decisions.ordercrashes import OrderCrashes
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.orders import (
     EnginePort,
@@ -113,7 +113,7 @@
         )
         self._has_service = has_service
         self._ordering: set[str] = set()
-        self._order_ends = OrderEnds()
+        self._order_ends = OrderCrashes()
         self._accepted: dict[str, int] = {}
         self._paused_until: dict[str, float] = {}
         self._closed_at: dict[str, float] = {}
@@ -213,7 +213,7 @@
             and not state.is_limited
             and (state.is_open(now) or state.info.id in self._ordering)
         ]
-        return count_loading_places(len(engines), len(working))
+        return count_loading_slots(len(engines), len(working))
 
     async def _bring_up(self, lag: _Lag) -> None:
         server_id = lag.state.info.id
@@ -233,7 +233,7 @@
                 self._order_ends.note_loaded(lag.model, lag.version)
             elif taken is Taken.YES and self._has_ended(lag.state):
                 now = trio.current_time()
-                self._order_ends.note_ended(lag.model, lag.version, now)
+                self._order_ends.note_crash(lag.model, lag.version, now)
             if not is_up and self._table.is_current(lag.state):
                 self._paused_until[server_id] = (
                     trio.current_time() + FAILED_PAUSE_SECONDS
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -7,7 +7,7 @@
 import trio
 
 from ashpond.controllers.orderlease import LEASE_TABLE
-from ashpond.decisions.loadingplaces import MANY_LOADING_SHARE
+from ashpond.decisions.loadingslots import MANY_LOADING_SHARE
 from ashpond.decisions.loads import Load
 from ashpond.gateway.rollouts import (
     BOUND_SECONDS,
