--- a/ashpond/decisions/eventstream.py
+++ b/ashpond/decisions/eventstream.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-__all__ = ["EventCutter"]
+__all__ = ["EventSplitter"]
 
 SEPARATORS = (b"\n\n", b"\r\n\r\n")
 ID_FIELD = b"id:"
 
 
-class EventCutter:
+class EventSplitter:
     """Takes pieces as they arrive, gives back whole events."""
 
     def __init__(self, last_id: str | None = None):
@@ -28,12 +28,12 @@
         self._note_ids(whole)
         return whole
 
-    def take_rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Return what follows the last whole event, at the stream's proper end."""
-        rest, self._buffer = self._buffer, b""
-        return rest
+        remainder, self._buffer = self._buffer, b""
+        return remainder
 
-    def drop_rest(self) -> None:
+    def drop_remainder(self) -> None:
         """Forget an event that broke off; a continuation brings it whole."""
         self._buffer = b""
 
--- a/ashpond/decisions/streams.py
+++ b/ashpond/decisions/streams.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Continue", "EventVerdict", "Fail", "StreamOrder", "plan_continuation"]
+__all__ = ["Continue", "EventAction", "EventSequence", "Fail", "plan_continuation"]
 
 from enum import Enum
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 MAX_RESUMES = 5
 
 
-class EventVerdict(Enum):
+class EventAction(Enum):
     """What to do with an event of an upstream answer."""
 
     FORWARD = "forward"
@@ -18,20 +18,20 @@
     GAP = "gap"
 
 
-class StreamOrder:
+class EventSequence:
     """The number of the last event that was passed on, starting from 0."""
 
     def __init__(self, after: int = 0):
         self.last = after
 
-    def judge(self, number: int) -> EventVerdict:
+    def check(self, number: int) -> EventAction:
         """Judge an event by its number; a forwarded one becomes the last."""
         if number <= self.last:
-            return EventVerdict.DUPLICATE
+            return EventAction.DUPLICATE
         if number > self.last + 1:
-            return EventVerdict.GAP
+            return EventAction.GAP
         self.last = number
-        return EventVerdict.FORWARD
+        return EventAction.FORWARD
 
 
 class Continue(NamedTuple):
--- a/ashpond/filters/relay.py
+++ b/ashpond/filters/relay.py
@@ -13,8 +13,8 @@
 from ashpond.clients.engine import EngineAnswer, StreamEvent, read_event_batches
 from ashpond.decisions.streams import (
     Continue,
-    EventVerdict,
-    StreamOrder,
+    EventAction,
+    EventSequence,
     plan_continuation,
 )
 from ashpond.outcomes import Refusal, RunState
@@ -47,7 +47,7 @@
 
     :param after: number of the last event that the caller already has.
     """
-    order = StreamOrder(after)
+    order = EventSequence(after)
     resumes = 0
     current = answer
     finished = False
@@ -102,14 +102,14 @@
     is_cut: bool = False
 
 
-def take_batch(batch: list[StreamEvent], order: StreamOrder) -> Taken:
+def take_batch(batch: list[StreamEvent], order: EventSequence) -> Taken:
     """Return the new events of a batch, up to its end or a gap."""
     parts: list[bytes] = []
     for event in batch:
-        verdict = order.judge(event.number)
-        if verdict is EventVerdict.GAP:
+        verdict = order.check(event.number)
+        if verdict is EventAction.GAP:
             return Taken(b"".join(parts), is_cut=True)
-        if verdict is EventVerdict.FORWARD:
+        if verdict is EventAction.FORWARD:
             parts.append(event.data)
             if event.is_end:
                 return Taken(b"".join(parts), is_end=True)
@@ -129,7 +129,7 @@
 async def find_continuation(
     call: Call,
     current: EngineAnswer,
-    order: StreamOrder,
+    order: EventSequence,
     resumes: int,
     source: StreamSource,
 ) -> EngineAnswer | str:
--- a/ashpond/gateway/callprogress.py
+++ b/ashpond/gateway/callprogress.py
@@ -27,7 +27,7 @@
 from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.budget import FleetRetryBudget
 from ashpond.decisions.declared import Route, Team, pick_service
-from ashpond.decisions.eventstream import EventCutter
+from ashpond.decisions.eventstream import EventSplitter
 from ashpond.decisions.fingerprints import make_fingerprint
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.prompts import Prompt
@@ -134,7 +134,7 @@
         self.is_started = False
         self.is_ended = False
         self.first_after: float | None = None
-        self.cutter = EventCutter(call.envelope.resume_after)
+        self.cutter = EventSplitter(call.envelope.resume_after)
         prompt = call.envelope.prompt
         self.demand = Demand(
             pick_service(accepted.route, tools.rng),
--- a/ashpond/gateway/sends.py
+++ b/ashpond/gateway/sends.py
@@ -268,7 +268,7 @@
                     await self.call.start_reply(response.status, response.headers)
                     await self.call.reply.send(data)
         except ChannelError as error:
-            self.call.cutter.drop_rest()
+            self.call.cutter.drop_remainder()
             now = trio.current_time()
             if state.is_open(now):
                 # A server that is closed may have been told to cut its streams.
@@ -284,7 +284,7 @@
         state.note_answer(trio.current_time(), failed=False)
         self.tools.quarantine.note_answered(self.call.fingerprint)
         await self.call.start_reply(response.status, response.headers)
-        rest = self.call.cutter.take_rest()
+        rest = self.call.cutter.take_remainder()
         if rest:
             await self.call.reply.send(rest)
         self.call.is_ended = True
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,7 +12,7 @@
 from ashpond.call import Call, Reply
 from ashpond.clients.engine import EngineAnswer, StreamEvent
 from ashpond.controllers.claims import Claim
-from ashpond.decisions.streams import Continue, Fail, StreamOrder, plan_continuation
+from ashpond.decisions.streams import Continue, EventSequence, Fail, plan_continuation
 from ashpond.filters.idempotency import make_idempotency
 from ashpond.filters.relay import StreamSource, relay_stream, take_batch
 from ashpond.metrics import Metrics
@@ -199,7 +199,7 @@
 
 def test_events_before_a_gap_in_one_batch_are_passed_on():
     batch = [StreamEvent(n, b"%d;" % n, False) for n in (1, 2, 4)]
-    order = StreamOrder()
+    order = EventSequence()
     taken = take_batch(batch, order)
     assert taken.chunk == b"1;2;"
     assert taken.is_cut
