--- a/ashpond/controllers/allowancegrants.py
+++ b/ashpond/controllers/allowancegrants.py
@@ -45,7 +45,7 @@
 
 
 def refuse_used_up(
-    allowance: Allowance, cost: int, verdict: AllowanceVerdict, keeper: str
+    allowance: Allowance, cost: int, verdict: AllowanceVerdict, coordinator: str
 ) -> Refusal:
     """Return the refusal of a request that its team's allowance does not hold."""
     if verdict.retry_after is None:
@@ -56,7 +56,7 @@
     else:
         message = (
             f"the team's allowance is used up: {cost} {allowance.unit} asked for, "
-            f"{verdict.left:.0f} left at keeper {keeper}, which gets "
+            f"{verdict.left:.0f} left at keeper {coordinator}, which gets "
             f"{verdict.share:.0%} of the fleet's time"
         )
     return Refusal(TOO_MANY, "team_allowance", message, retry_after=verdict.retry_after)
--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -26,7 +26,7 @@
     refuse_used_up,
     take_unlimited,
 )
-from ashpond.controllers.keeperlink import ASK_SECONDS, Connect, KeeperLink
+from ashpond.controllers.coordinatorlink import ASK_SECONDS, Connect, CoordinatorLink
 from ashpond.decisions.allowances import (
     RETURN_SECONDS,
     Allowance,
@@ -111,7 +111,7 @@
         self._earns_since = now
         self._headcount = Headcount(now)
         self._ledgers: dict[tuple[int, int], Ledger] = {}
-        self._links: list[KeeperLink] = []
+        self._links: list[CoordinatorLink] = []
         self._known: Declaration | None = None
         self._limits: dict[str, Allowance] = {}
         # Limits of configurations that askers know and this instance does not yet.
@@ -151,9 +151,9 @@
         self._count_use(team.name, cost, verdict.is_granted)
         if verdict.is_granted:
             return Taken(team.name, allowance.unit, cost, now)
-        return refuse_used_up(allowance, cost, verdict, link.keeper)
+        return refuse_used_up(allowance, cost, verdict, link.coordinator)
 
-    async def ask_for_server(
+    async def request_permit(
         self, start: str, allowance: Allowance, urgency: int, patience: float
     ) -> AllowanceVerdict | None:
         """Return whether a request may be sent to a server that names a limit.
@@ -166,12 +166,12 @@
             return None
         return await self._ask(link, start, allowance, 1, urgency, patience)
 
-    def link(self) -> None:
+    def open_links(self) -> None:
         """Link to the keepers now, if there is anything to ask them for."""
         if not self._links:
             self._adjust()
 
-    def _find_link(self, name: str) -> KeeperLink | None:
+    def _find_link(self, name: str) -> CoordinatorLink | None:
         if not self._links:
             self._adjust()
         if not self._links:
@@ -180,7 +180,7 @@
 
     async def _ask(
         self,
-        link: KeeperLink,
+        link: CoordinatorLink,
         name: str,
         allowance: Allowance,
         cost: int,
@@ -211,7 +211,7 @@
             return
         link = self._links[find_slot(taken.team, len(self._links))]
         returned = ReturnedAllowance(taken.team, taken.unit, taken.cost)
-        if link.is_own_keeper:
+        if link.is_own_coordinator:
             ledger = self._get_ledger(len(self._links), link.slot)
             self._take_back(ledger, [returned], trio.current_time())
         else:
@@ -242,8 +242,8 @@
             with trio.fail_after(ASK_SECONDS):
                 await stream.send(encode_answer(now, verdicts))
 
-    def decide_here(
-        self, slots: int, slot: int, link: KeeperLink, request: AllowanceRequest
+    def decide_locally(
+        self, slots: int, slot: int, link: CoordinatorLink, request: AllowanceRequest
     ) -> AllowanceVerdict:
         """Decide as the keeper that this instance takes itself for."""
         now = trio.current_time()
@@ -251,7 +251,7 @@
         self._earn_here(ledger, link, now)
         return self._decide(ledger, request, now)
 
-    def _earn_here(self, ledger: Ledger, link: KeeperLink, now: float) -> None:
+    def _earn_here(self, ledger: Ledger, link: CoordinatorLink, now: float) -> None:
         earned = link.earnings.take(now)
         if earned is not None:
             ledger.receive(earned, self._headcount.measure_share(now), now)
@@ -348,14 +348,14 @@
         for link in self._links:
             self._nursery.start_soon(link.run)
 
-    def _make_link(self, slots: int, slot: int) -> KeeperLink:
-        return KeeperLink(
+    def _make_link(self, slots: int, slot: int) -> CoordinatorLink:
+        return CoordinatorLink(
             self._life,
             slots,
             slot,
             self._members,
             self._log,
-            self.decide_here,
+            self.decide_locally,
             self._connect,
             self._earns_since,
         )
@@ -376,7 +376,7 @@
         now = trio.current_time()
         uses = sorted(self._uses.items(), key=lambda entry: -sum(entry[1]))
         return {
-            "keepers": [link.keeper for link in self._links],
+            "keepers": [link.coordinator for link in self._links],
             "share_earned": round(self._headcount.measure_share(now), 5),
             "kept_here": {
                 f"{slot}/{slots}": {
--- a/ashpond/controllers/keeperlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ASK_SECONDS", "Connect", "KeeperLink"]
+__all__ = ["ASK_SECONDS", "Connect", "CoordinatorLink"]
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import TYPE_CHECKING
@@ -43,7 +43,9 @@
 HAND_OVER_SECONDS = 0.25
 
 Connect = Callable[[Member], Awaitable[PeerStream]]
-DecideHere = Callable[[int, int, "KeeperLink", AllowanceRequest], AllowanceVerdict]
+DecideLocally = Callable[
+    [int, int, "CoordinatorLink", AllowanceRequest], AllowanceVerdict
+]
 
 
 class _Waiter:
@@ -65,16 +67,16 @@
         self.stream = stream
         self.ahead = ahead
 
-    def note_clock(self, keeper_now: float) -> None:
+    def note_clock(self, coordinator_now: float) -> None:
         """Take what the keeper's clock showed when it answered."""
-        self.ahead = max(self.ahead, keeper_now - trio.current_time())
+        self.ahead = max(self.ahead, coordinator_now - trio.current_time())
 
     def convert(self, span: TimeSpan) -> TimeSpan:
         """Return a span of this process's clock on the keeper's."""
         return TimeSpan(span.begin + self.ahead, span.end + self.ahead)
 
 
-class KeeperLink:
+class CoordinatorLink:
     """Asks the keeper of one slot, whichever instance that is at present.
 
     Any instance may be asked without harm to the limits, so that each finds its keeper
@@ -92,19 +94,19 @@
         slot: int,
         members: Members,
         log: DecisionLog,
-        decide_here: DecideHere,
+        decide_locally: DecideLocally,
         connect: Connect,
         earns_since: float,
     ):
         self.scope = trio.CancelScope()
         self.earnings = Earnings(earns_since)
-        self.keeper = ""
+        self.coordinator = ""
         self._life = life
         self._slots = slots
         self.slot = slot
         self._members = members
         self._log = log
-        self._decide_here = decide_here
+        self._decide_locally = decide_locally
         self._connect_to = connect
         self._own = members.own.name
         self._waiters: dict[int, _Waiter] = {}
@@ -118,9 +120,9 @@
         self._is_warming = False
 
     @property
-    def is_own_keeper(self) -> bool:
+    def is_own_coordinator(self) -> bool:
         """Whether this instance is its own keeper at present."""
-        return self.keeper == self._own
+        return self.coordinator == self._own
 
     def next_number(self) -> int:
         """Return a number for a request that no other on this link has."""
@@ -129,8 +131,8 @@
 
     async def ask(self, request: AllowanceRequest) -> AllowanceVerdict | None:
         """Return the keeper's verdict, None if there was none in time."""
-        if self.is_own_keeper:
-            return self._decide_here(self._slots, self.slot, self, request)
+        if self.is_own_coordinator:
+            return self._decide_locally(self._slots, self.slot, self, request)
         waiter = self._waiters[request.number] = _Waiter(request)
         self._signal.set()
         try:
@@ -149,18 +151,18 @@
         """Stay connected to the best keeper there is, until cancelled."""
         with self.scope:
             while True:
-                keeper, line = await self._find_keeper()
-                self._note_keeper(keeper)
+                coordinator, line = await self._find_coordinator()
+                self._set_coordinator(coordinator)
                 if line is None:
                     self._decide_waiting()
                     await trio.sleep(AVOID_SECONDS)
                 else:
-                    await self._converse(keeper, line)
+                    await self._converse(coordinator, line)
 
-    def _note_keeper(self, keeper: str) -> None:
-        if keeper != self.keeper:
-            self._log.note("allowance_keeper", keeper=keeper, slot=self.slot)
-        self.keeper = keeper
+    def _set_coordinator(self, coordinator: str) -> None:
+        if coordinator != self.coordinator:
+            self._log.note("allowance_keeper", keeper=coordinator, slot=self.slot)
+        self.coordinator = coordinator
 
     def _list_candidates(self) -> list[Member]:
         """Return whom to try, the best first, without those just found away."""
@@ -173,7 +175,7 @@
             if self._avoided.get(member.name, 0.0) <= now
         ]
 
-    async def _find_keeper(self) -> tuple[str, _Line | None]:
+    async def _find_coordinator(self) -> tuple[str, _Line | None]:
         """Return the best keeper that can be reached; itself without a connection."""
         for member in self._list_candidates():
             if member.name == self._own:
@@ -216,12 +218,12 @@
         """Decide here what waited for a keeper."""
         for waiter in list(self._waiters.values()):
             if waiter.verdict is None:
-                waiter.verdict = self._decide_here(
+                waiter.verdict = self._decide_locally(
                     self._slots, self.slot, self, waiter.request
                 )
                 waiter.event.set()
 
-    async def _converse(self, keeper: str, line: _Line) -> None:
+    async def _converse(self, coordinator: str, line: _Line) -> None:
         """Ask a keeper until it is lost, or a better one is there."""
         for waiter in self._waiters.values():
             waiter.is_sent = False
@@ -230,7 +232,9 @@
         reason = "it is silent"
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch_better, keeper, nursery.cancel_scope)
+                nursery.start_soon(
+                    self._watch_better, coordinator, nursery.cancel_scope
+                )
                 nursery.start_soon(self._send_asks, line)
                 with trio.CancelScope() as self._silence:
                     await self._take_answers(line)
@@ -242,15 +246,15 @@
         finally:
             with trio.CancelScope(shield=True):
                 await line.stream.aclose()
-        self._avoid(keeper, reason)
+        self._avoid(coordinator, reason)
         self._fills_first = True
 
-    async def _watch_better(self, keeper: str, scope: trio.CancelScope) -> None:
+    async def _watch_better(self, coordinator: str, scope: trio.CancelScope) -> None:
         """End a conversation once a candidate that goes before its keeper is back."""
         while True:
             await trio.sleep(AVOID_SECONDS)
             for member in self._list_candidates():
-                if member.name == keeper:
+                if member.name == coordinator:
                     break
                 if member.name == self._own or await self._warm(member):
                     scope.cancel()
--- a/ashpond/controllers/permits.py
+++ b/ashpond/controllers/permits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Keeper", "Permits", "grant_unasked"]
+__all__ = ["PermitSource", "Permits", "grant_unasked"]
 
 import random
 from collections.abc import Callable
@@ -27,13 +27,13 @@
 PROMISE_SECONDS = 2.0
 
 
-class Keeper(Protocol):
+class PermitSource(Protocol):
     """Whom permits are asked from."""
 
-    def link(self) -> None:
+    def open_links(self) -> None:
         """Connect to whoever decides."""
 
-    async def ask_for_server(
+    async def request_permit(
         self, start: str, allowance: Allowance, urgency: int, patience: float
     ) -> AllowanceVerdict | None:
         """Return a verdict, None if there is none in time."""
@@ -48,12 +48,12 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        permit_source: PermitSource,
         count: Callable[[str], None],
         rng: random.Random,
         wake: Callable[[], None],
     ):
-        self._keeper = keeper
+        self._permit_source = permit_source
         self._count = count
         self._rng = rng
         self._wake = wake
@@ -66,7 +66,7 @@
         state.permit_refusals = 0
         rate = state.rate_limit.rate
         if rate is not None and before is None:
-            self._keeper.link()
+            self._permit_source.open_links()
             state.permit_pause_until = trio.current_time() + FIRST_SECONDS
         elif rate is None or (before is not None and rate > before):
             state.permit_pause_until = 0.0
@@ -82,7 +82,7 @@
             return True
         verdict = None
         with trio.move_on_after(PATIENCE_SECONDS):
-            verdict = await self._keeper.ask_for_server(
+            verdict = await self._permit_source.request_permit(
                 state.info.start_id, make_allowance(rate), urgency, PROMISE_SECONDS
             )
         if verdict is None:
--- a/ashpond/emulator/permits.py
+++ b/ashpond/emulator/permits.py
@@ -42,10 +42,10 @@
             self._ledger.receive(TimeSpan(begin, now), 1.0, now)
             begin = now
 
-    def link(self) -> None:
+    def open_links(self) -> None:
         """Do nothing: instances are always linked."""
 
-    async def ask_for_server(
+    async def request_permit(
         self, start: str, allowance: Allowance, urgency: int, patience: float
     ) -> AllowanceVerdict:
         """Return whether a request may be sent to a server that names a limit."""
--- a/tests/test_allowance_fleet.py
+++ b/tests/test_allowance_fleet.py
@@ -13,7 +13,7 @@
 
 from ashpond.clients.keeper import AllowanceRequest, ReturnedAllowance, encode_ask
 from ashpond.clients.peer import AllowanceAsk, PeerStream
-from ashpond.controllers import keeperlink
+from ashpond.controllers import coordinatorlink
 from ashpond.decisions.allowances import AllowanceUnit
 from ashpond.decisions.fleetlinks import Member
 from tests.allowance_fleet import Fleet
@@ -135,13 +135,13 @@
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 90)
         await trio.sleep(SETTLED_SECONDS)
-        keeper = fleet.instances["i1"].allowances.describe()["keepers"][0]
-        domain = fleet.members[keeper].failure_domain
+        coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
+        domain = fleet.members[coordinator].failure_domain
         nursery.start_soon(fleet.press, HOT, 25.0)
         await trio.sleep(4.0)
         names = [n for n, m in fleet.members.items() if m.failure_domain == domain]
         await fleet.cut_off(names, 8.0)
-        await fleet.end([keeper], 3.0)
+        await fleet.end([coordinator], 3.0)
         await trio.sleep(10.0)
         nursery.cancel_scope.cancel()
     assert fleet.measure_worst() <= 1.0
@@ -153,10 +153,10 @@
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 90)
         await trio.sleep(SETTLED_SECONDS)
-        keeper = fleet.instances["i1"].allowances.describe()["keepers"][0]
+        coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
         nursery.start_soon(fleet.press, USUAL, 30.0)
         await trio.sleep(4.0)
-        await fleet.end([keeper], 3.0)
+        await fleet.end([coordinator], 3.0)
         await trio.sleep(24.0)
         nursery.cancel_scope.cancel()
     assert fleet.measure_worst() <= 1.0
@@ -180,9 +180,9 @@
     assert fleet.measure_worst() <= 1.0
 
 
-@pytest.mark.parametrize("keeper_knows", [True, False])
+@pytest.mark.parametrize("coordinator_knows", [True, False])
 async def test_a_limit_that_is_lowered_under_a_hot_team(
-    keeper_knows: bool, autojump_clock: object
+    coordinator_knows: bool, autojump_clock: object
 ) -> None:
     """A quarter of the instances does not hear of it, the keeper among them or not."""
     async with trio.open_nursery() as nursery:
@@ -194,9 +194,9 @@
         fleet.version += 1
         fleet.limit = before._replace(rate=before.rate / 3, burst=before.burst / 3)
         lowered_at = trio.current_time()
-        keeper = fleet.instances["i1"].allowances.describe()["keepers"][0]
-        others = [name for name in fleet.members if name != keeper]
-        names = others[::4] if keeper_knows else [*others[::4], keeper]
+        coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
+        others = [name for name in fleet.members if name != coordinator]
+        names = others[::4] if coordinator_knows else [*others[::4], coordinator]
         fleet.unaware = dict.fromkeys(names, before)
         await trio.sleep(24.0)
         nursery.cancel_scope.cancel()
@@ -213,12 +213,12 @@
         told.extend(args[5] if len(args) > 5 else ())
         return encode_ask(*args, **options)
 
-    monkeypatch.setattr(keeperlink, "encode_ask", record)
+    monkeypatch.setattr(coordinatorlink, "encode_ask", record)
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 8)
         await trio.sleep(SETTLED_SECONDS)
-        keeper = fleet.instances["i1"].allowances.describe()["keepers"][0]
-        other = next(i for i in fleet.instances.values() if i.name != keeper)
+        coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
+        other = next(i for i in fleet.instances.values() if i.name != coordinator)
         link = other.allowances._links[0]
         connect = link._connect_to
 
@@ -227,9 +227,9 @@
             return await connect(member)
 
         monkeypatch.setattr(link, "_connect_to", give_back_and_connect)
-        nursery.start_soon(fleet.end, [keeper], 5.0)
+        nursery.start_soon(fleet.end, [coordinator], 5.0)
         await trio.sleep(1.5)
-        assert link.keeper not in ("", keeper)
+        assert link.coordinator not in ("", coordinator)
         nursery.cancel_scope.cancel()
     assert told == []
 
@@ -244,6 +244,6 @@
         await trio.sleep(SETTLED_SECONDS)
         allowances = fleet.instances["i0"].allowances
         request = AllowanceRequest(1, 99, "other", unit, 0.0, 0.0, 1, 1, 1.0)
-        verdict = allowances.decide_here(1, 0, allowances._links[0], request)
+        verdict = allowances.decide_locally(1, 0, allowances._links[0], request)
         nursery.cancel_scope.cancel()
     assert verdict.number == 1
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -55,8 +55,8 @@
         await name_and_press(fleet, 3.0, 36.0)
         for _ in range(6):
             await trio.sleep(4.0)
-            keeper = fleet.instances["i1"].allowances.describe()["keepers"][0]
-            name = keeper if keeper != "i1" else "i2"
+            coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
+            name = coordinator if coordinator != "i1" else "i2"
             nursery.start_soon(fleet.end, [name], 1.5)
         await trio.sleep(6.0)
         nursery.cancel_scope.cancel()
