--- a/ashpond/controllers/cachestores.py
+++ b/ashpond/controllers/cachestores.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from ashpond.controllers.feeds import TableNews
+from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.declared import CacheStore
 from ashpond.decisions.prompts import Prompt
 from ashpond.decisions.selection import rank_homes
@@ -54,7 +54,7 @@
         self,
         store: CacheStore,
         is_reader: Callable[[], bool] = lambda: True,
-        publish: Callable[[TableNews], None] = lambda news: None,
+        publish: Callable[[TableUpdate], None] = lambda update: None,
     ) -> None:
         self.store = store
         self.is_up = False
@@ -113,30 +113,30 @@
             else:
                 await self._ask(engines, log)
 
-    def take(self, news: TableNews) -> bool:
+    def take(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
         now = trio.current_time()
-        epoch = self._read_epoch(news)
+        epoch = self._read_epoch(update)
         is_other = epoch != self._epoch
         if epoch is None or (self._is_reader() and is_other):
             # Of another life, a reader asks the store itself.
             return False
-        is_gap = news.after > (0 if is_other else self._since)
+        is_gap = update.after > (0 if is_other else self._since)
         if is_gap and not self._accepts_gap:
             self._has_missed = True
             self._wake()
             return False
         if is_other:
             self._begin_epoch(epoch)
-        self.knows_all = news.is_whole or (self.knows_all and not is_gap)
+        self.knows_all = update.is_whole or (self.knows_all and not is_gap)
         self._accepts_gap = False
-        is_new = news.version > self._since
+        is_new = update.version > self._since
         is_worth = is_new or now - self._told_at >= PAUSE_SECONDS
         self._told_at = now
         self.is_up = True
         if is_new:
-            self._apply(_decode_events(news, self._since))
-            self._since = news.version
+            self._apply(_decode_events(update, self._since))
+            self._since = update.version
         self._wake()
         return is_worth
 
@@ -193,9 +193,9 @@
         self._told_at = trio.current_time()
         await trio.sleep(RETRY_SECONDS)
 
-    def _read_epoch(self, news: TableNews) -> int | None:
+    def _read_epoch(self, update: TableUpdate) -> int | None:
         """Return the life of the store that news are about."""
-        text = news.table.rpartition(" ")[2]
+        text = update.table.rpartition(" ")[2]
         return int(text) if text.isascii() and text.isdigit() else None
 
     def _name_events(self) -> str:
@@ -221,7 +221,7 @@
     def __init__(
         self,
         is_reader: Callable[[], bool] = lambda: True,
-        publish: Callable[[TableNews], None] = lambda news: None,
+        publish: Callable[[TableUpdate], None] = lambda update: None,
     ) -> None:
         self.by_address: dict[str, StoreContents] = {}
         self._is_reader = is_reader
@@ -245,11 +245,11 @@
         for contents in self.by_address.values():
             contents.expire(now)
 
-    def take(self, news: TableNews) -> bool:
+    def take(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
-        address = news.table.removeprefix(EVENTS_PREFIX).partition(" ")[0]
+        address = update.table.removeprefix(EVENTS_PREFIX).partition(" ")[0]
         contents = self.by_address.get(address)
-        return contents is not None and contents.take(news)
+        return contents is not None and contents.take(update)
 
     async def follow(
         self,
@@ -287,7 +287,7 @@
         nursery.start_soon(follow)
 
 
-def _encode_events(name: str, since: int, answer: CacheEvents) -> TableNews:
+def _encode_events(name: str, since: int, answer: CacheEvents) -> TableUpdate:
     rows = tuple(
         Row(
             name,
@@ -298,12 +298,12 @@
         for event in answer.events
     )
     is_whole = since == 0 and not answer.is_gap
-    return TableNews(name, since, answer.next, 0.0, rows, is_whole=is_whole)
+    return TableUpdate(name, since, answer.next, 0.0, rows, is_whole=is_whole)
 
 
-def _decode_events(news: TableNews, since: int) -> tuple[CacheEvent, ...]:
+def _decode_events(update: TableUpdate, since: int) -> tuple[CacheEvent, ...]:
     events = []
-    for row in news.rows:
+    for row in update.rows:
         salt, _, part = row.key.rpartition(SEPARATOR)
         if row.version > since:
             events.append(CacheEvent(row.version, salt, part, row.value is not None))
--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Feed", "Follower", "TableNews"]
+__all__ = ["Feed", "Follower", "TableUpdate"]
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -55,7 +55,7 @@
     on_failure: Callable[[], None]
 
 
-class TableNews(NamedTuple):
+class TableUpdate(NamedTuple):
     """What a reader learned: all changes of a table from ``after`` to ``version``.
 
     ``store_time`` is the store's steady clock when it answered, in seconds. ``era`` is
@@ -86,7 +86,7 @@
         clock: StoreClock,
         log: DecisionLog,
         is_reader: Callable[[], bool],
-        publish: Callable[[TableNews], None],
+        publish: Callable[[TableUpdate], None],
     ):
         self.feed = feed
         self._store = store
@@ -129,61 +129,61 @@
             else:
                 await self._ask()
 
-    def take(self, news: TableNews) -> bool:
+    def take(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
         now = trio.current_time()
         era = self._store.era
-        if era.is_older(news.era):
+        if era.is_older(update.era):
             return False
-        era.note(news.era, now, now)
-        if news.is_whole and (self._version is None or news.after > self._version):
-            return self._take_whole(news, now)
-        if self._version is None or news.after > self._version:
+        era.note(update.era, now, now)
+        if update.is_whole and (self._version is None or update.after > self._version):
+            return self._take_whole(update, now)
+        if self._version is None or update.after > self._version:
             # A change in between was missed, or nothing is known yet.
             self._has_gap = self._version is not None
             self._wake()
             return False
-        as_of = self._clock.date_relayed(news.store_time)
+        as_of = self._clock.date_relayed(update.store_time)
         if as_of is None or as_of > now:
             # The store's clock is not what it was: ask for it.
             self._has_gap = True
             self._wake()
             return False
-        is_new = news.version > self._version
+        is_new = update.version > self._version
         is_worth = is_new or as_of - self._as_of >= NEWS_WORTH_SECONDS
-        rows = tuple(row for row in news.rows if row.version > self._version)
+        rows = tuple(row for row in update.rows if row.version > self._version)
         if rows:
             self._log.note(
                 "told_by_reader",
-                table=news.table,
+                table=update.table,
                 rows=len(rows),
-                version=news.version,
+                version=update.version,
                 age=round(now - as_of, 3),
             )
         self._as_of = max(self._as_of, as_of)
-        self._version = max(self._version, news.version)
-        snapshot = Snapshot(rows, news.version, news.store_time, as_of, now)
+        self._version = max(self._version, update.version)
+        snapshot = Snapshot(rows, update.version, update.store_time, as_of, now)
         self.feed.on_rows(snapshot, False, as_of)
         self._wake()
         return is_worth
 
-    def _take_whole(self, news: TableNews, now: float) -> bool:
+    def _take_whole(self, update: TableUpdate, now: float) -> bool:
         """Take a whole table in place of what is known."""
-        as_of = self._clock.date_relayed(news.store_time)
+        as_of = self._clock.date_relayed(update.store_time)
         if as_of is None or as_of > now:
             self._has_gap = self._version is not None
             self._wake()
             return False
         self._as_of = max(self._as_of, as_of)
-        self._version = news.version
+        self._version = update.version
         self._log.note(
             "table_told_by_reader",
-            table=news.table,
-            rows=len(news.rows),
-            version=news.version,
-            era=news.era,
+            table=update.table,
+            rows=len(update.rows),
+            version=update.version,
+            era=update.era,
         )
-        snapshot = Snapshot(news.rows, news.version, news.store_time, as_of, now)
+        snapshot = Snapshot(update.rows, update.version, update.store_time, as_of, now)
         self.feed.on_rows(snapshot, True, as_of)
         self._wake()
         return True
@@ -281,7 +281,7 @@
                 rows = ()
         self._is_restarted = False
         self._publish(
-            TableNews(
+            TableUpdate(
                 self.feed.table,
                 after,
                 snapshot.version,
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -13,7 +13,7 @@
 from ashpond.controllers.budgets import Budgets
 from ashpond.controllers.cachestores import EVENTS_PREFIX, CacheStores
 from ashpond.controllers.crashdetection import CrashDetector
-from ashpond.controllers.feeds import Feed, Follower, TableNews
+from ashpond.controllers.feeds import Feed, Follower, TableUpdate
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.permits import Permits
 from ashpond.controllers.quarantine import Quarantine
@@ -330,7 +330,7 @@
         declaration = self.knowledge.declaration
         return declaration is not None and service in declaration.services
 
-    def _on_table(self, news: TableNews) -> bool:
+    def _on_table(self, news: TableUpdate) -> bool:
         if news.table.startswith(EVENTS_PREFIX):
             return self.stores.take(news)
         follower = self.followers.get(news.table)
--- a/ashpond/news/items.py
+++ b/ashpond/news/items.py
@@ -33,7 +33,7 @@
     ServerEndNews,
     TableChanges,
 )
-from ashpond.controllers.feeds import TableNews
+from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
@@ -109,7 +109,7 @@
     list_sends: Callable[[], dict[str, AttemptCounts]]
     on_sends: Callable[[str, str, AttemptCounts], None]
     keep_peers: Callable[[Container[str]], None]
-    on_table: Callable[[TableNews], bool]
+    on_table: Callable[[TableUpdate], bool]
     on_ends: Callable[[list[ServerCrash], str], list[ServerCrash]]
     list_ends: Callable[[], list[ServerCrash]]
     serve_asker: Callable[[AllowanceAsk, PeerStream], Awaitable[None]]
@@ -190,7 +190,7 @@
         raise FrameError(f"ends that make no sense: {error!r}") from error
 
 
-def encode_changes(sender: str, scope: Scope, news: TableNews) -> TableChanges:
+def encode_changes(sender: str, scope: Scope, news: TableUpdate) -> TableChanges:
     """Return the message that passes changes of a table on."""
     rows = [[row.key, row.value, row.version] for row in news.rows]
     return TableChanges(
@@ -206,7 +206,7 @@
     )
 
 
-def decode_changes(changes: TableChanges) -> tuple[Scope, TableNews]:
+def decode_changes(changes: TableChanges) -> tuple[Scope, TableUpdate]:
     """Return the scope of a message, and the changes of a table that it holds.
 
     :raises FrameError: if it makes no sense.
@@ -225,6 +225,6 @@
     except ValueError as error:
         raise FrameError(f"changes that make no sense: {error!r}") from error
     era = None if changes.era == NO_ERA else changes.era
-    return scope, TableNews(
+    return scope, TableUpdate(
         changes.table, after, version, store_time, rows, era, changes.is_whole
     )
--- a/ashpond/news/links.py
+++ b/ashpond/news/links.py
@@ -32,7 +32,7 @@
     ServerEndNews,
     TableChanges,
 )
-from ashpond.controllers.feeds import TableNews
+from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import Links, Member
 from ashpond.decisions.quarantine import ServerCrash
@@ -128,7 +128,7 @@
         self._signal = trio.Event()
         self.notices: list[ServerNotice] = []
         self.holdings: list[CacheEntry] = []
-        self.tables: deque[TableNews] = deque(maxlen=MAX_PENDING_TABLES)
+        self.tables: deque[TableUpdate] = deque(maxlen=MAX_PENDING_TABLES)
         self.ends: deque[ServerCrash] = deque(maxlen=MAX_PENDING_ENDS)
 
     @property
@@ -140,7 +140,7 @@
         self,
         notices: Iterable[ServerNotice] = (),
         holdings: Iterable[CacheEntry] = (),
-        tables: Iterable[TableNews] = (),
+        tables: Iterable[TableUpdate] = (),
         ends: Iterable[ServerCrash] = (),
     ) -> None:
         """Keep news until the next turn."""
--- a/ashpond/news/room.py
+++ b/ashpond/news/room.py
@@ -19,7 +19,7 @@
     ServerEndNews,
 )
 from ashpond.controllers.directory import ServerTable
-from ashpond.controllers.feeds import TableNews
+from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import (
     FLAT_FLEET,
@@ -130,7 +130,7 @@
         """Return how late reports of others' work may arrive, 0 in a flat fleet."""
         return GROUP_LAG_SECONDS if self.links.group else 0.0
 
-    def publish(self, news: TableNews) -> None:
+    def publish(self, news: TableUpdate) -> None:
         """Tell the fleet what the store answered, or as no reader the own group."""
         scope = Scope.MEMBER if self.is_reader else Scope.GROUP
         self._pass_on(scope, self._life, tables=[news])
@@ -333,7 +333,7 @@
         except FrameError as error:
             self._log.note("peer_news_invalid", peer=message.sender, reason=str(error))
 
-    def _take_changes(self, sender: str, scope: Scope, news: TableNews) -> None:
+    def _take_changes(self, sender: str, scope: Scope, news: TableUpdate) -> None:
         if self._handlers.on_table(news):
             self._pass_on(scope, sender, tables=[news])
 
@@ -377,7 +377,7 @@
         sender: str,
         notices: Sequence[ServerNotice] = (),
         holdings: Sequence[CacheEntry] = (),
-        tables: Sequence[TableNews] = (),
+        tables: Sequence[TableUpdate] = (),
         ends: Sequence[ServerCrash] = (),
     ) -> None:
         """Forward what others receive from this hub only."""
--- a/tests/followed.py
+++ b/tests/followed.py
@@ -11,7 +11,7 @@
 from ashpond.controllers.feeds import (
     Feed,
     Follower,
-    TableNews,
+    TableUpdate,
 )
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import Snapshot, StoreClock
@@ -29,7 +29,7 @@
         self.failures = 0
         self.log = DecisionLog("test")
         self.is_reader = True
-        self.published: list[TableNews] = []
+        self.published: list[TableUpdate] = []
         self.as_of = float("-inf")
         self.greatest_age = 0.0
         self.store = store
--- a/tests/newsroom.py
+++ b/tests/newsroom.py
@@ -7,7 +7,7 @@
 import trio
 
 from ashpond.clients.peer import AllowanceAsk, News, PeerStream
-from ashpond.controllers.feeds import Feed, Follower, TableNews
+from ashpond.controllers.feeds import Feed, Follower, TableUpdate
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import FLAT_FLEET, Member
@@ -55,7 +55,7 @@
         self.notices: list[ServerNotice] = []
         self.holdings: list[CacheEntry] = []
         self.sends: dict[str, AttemptCounts] = {}
-        self.tables: list[TableNews] = []
+        self.tables: list[TableUpdate] = []
         self.ends: list[ServerCrash] = []
         self.log = DecisionLog(name)
         self.port = store.build_port()
@@ -88,7 +88,7 @@
     def keep_peers(self, peers: Container[str]) -> None:
         self.sends = {p: counts for p, counts in self.sends.items() if p in peers}
 
-    def on_table(self, news: TableNews) -> bool:
+    def on_table(self, news: TableUpdate) -> bool:
         self.tables.append(news)
         return True
 
--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -10,7 +10,7 @@
     CacheStores,
     StoreContents,
 )
-from ashpond.controllers.feeds import TableNews
+from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.declared import CacheStore
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.orders import CacheEvent, CacheEvents, EnginePort
@@ -82,7 +82,7 @@
         self.reader = CacheStores(lambda: True, self.pass_on)
         self.other = CacheStores(lambda: False)
 
-    def pass_on(self, news: TableNews) -> None:
+    def pass_on(self, news: TableUpdate) -> None:
         if self.passes_on:
             self.other.take(news)
 
@@ -175,7 +175,7 @@
         await answer_made.wait()
         name = contents._name_events()
         rows = (Row(name, "s\x1frules", b"", 1), Row(name, "s\x1frules", None, 2))
-        assert contents.take(TableNews(name, 0, 2, 0.0, rows))
+        assert contents.take(TableUpdate(name, 0, 2, 0.0, rows))
         assert contents.count_tokens("s", PROMPT) == 0
         told.set()
         await trio.testing.wait_all_tasks_blocked()
@@ -262,7 +262,7 @@
     store = BusyStandIn()
     others = [CacheStores(lambda: False) for _ in range(100)]
 
-    def pass_on(news: TableNews) -> None:
+    def pass_on(news: TableUpdate) -> None:
         for other in others:
             other.take(news)
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -16,7 +16,7 @@
 import trio.testing
 from hypothesis import given, strategies as st
 
-from ashpond.controllers.feeds import RETURN_PATIENCE_SECONDS, TableNews
+from ashpond.controllers.feeds import RETURN_PATIENCE_SECONDS, TableUpdate
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.orderlease import LEASE_TABLE, OrderLease, make_lease_key
 from ashpond.controllers.quarantinerows import QUARANTINE_TABLE
@@ -82,7 +82,7 @@
     for other in others:
         other.is_reader = False
 
-    def tell(news: TableNews) -> None:
+    def tell(news: TableUpdate) -> None:
         for other in others:
             other.follower.take(news)
 
@@ -146,7 +146,7 @@
         lose_and_reach_again(store)
         store.put("t", "a", b"2")
         await trio.sleep(2.5)
-        late = TableNews("t", 0, 99, 0.0, (Row("t", "a", b"late", 99),), era=1)
+        late = TableUpdate("t", 0, 99, 0.0, (Row("t", "a", b"late", 99),), era=1)
         assert not followed.follower.take(late)
         assert not followed.follower.take(late._replace(is_whole=True))
         assert followed.rows == {"a": b"2"}
@@ -178,7 +178,7 @@
         other.is_reader = False
         copy = store.take_copy()
 
-        async def carry(news: TableNews) -> None:
+        async def carry(news: TableUpdate) -> None:
             await trio.sleep(0.05)
             other.follower.take(news)
 
--- a/tests/test_feeds_told.py
+++ b/tests/test_feeds_told.py
@@ -9,7 +9,7 @@
 
 from ashpond.controllers.feeds import (
     RESYNC_SECONDS,
-    TableNews,
+    TableUpdate,
 )
 from ashpond.gateway.store import Row, StoreClock
 from ashpond.standins.tables import MemoryStore
@@ -81,10 +81,10 @@
     store = MemoryStore()
     reader, hub, member = Followed(store), Followed(store), Followed(store)
     hub.is_reader = member.is_reader = False
-    told: list[TableNews] = []
+    told: list[TableUpdate] = []
     reader.follower._publish = told.append
 
-    def pass_on(news: TableNews) -> None:
+    def pass_on(news: TableUpdate) -> None:
         member.follower.take(news)
 
     hub.follower._publish = pass_on
@@ -137,7 +137,7 @@
         await trio.sleep(0.1)
         store.put("t", "a", b"1")
         store.put("t", "b", b"2")
-        news = TableNews("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
+        news = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
         assert not other.follower.take(news)
         await trio.sleep(0.1)
         assert other.rows == {"a": b"1", "b": b"2"}
@@ -169,7 +169,7 @@
         await answer_made.wait()
         store.put("t", "a", b"1")
         store.put("t", "b", b"2")
-        news = TableNews("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
+        news = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
         assert not other.follower.take(news)
         told.set()
         await trio.sleep(0.1)
@@ -185,7 +185,7 @@
     async with running(other):
         await trio.sleep(0.1)
         as_of = other.as_of
-        news = TableNews("t", 0, 1, 0.0, (Row("t", "a", b"1", 1),))
+        news = TableUpdate("t", 0, 1, 0.0, (Row("t", "a", b"1", 1),))
         assert not other.follower.take(news)
         assert other.rows == {"a": b"2"}
         assert other.as_of == as_of
@@ -202,7 +202,7 @@
         await trio.sleep(0.1)
         as_of = other.as_of
         later = store.clock_offset + trio.current_time() + 5.0
-        assert not other.follower.take(TableNews("t", 0, 0, later, ()))
+        assert not other.follower.take(TableUpdate("t", 0, 0, later, ()))
         assert other.as_of == as_of
 
 
@@ -219,7 +219,7 @@
         one.follower._clock = clock
         one.follower._publish = lambda news: None
 
-    def pass_on(news: TableNews) -> None:
+    def pass_on(news: TableUpdate) -> None:
         for one in followed:
             one.follower.take(news)
 
--- a/tests/test_news_groups.py
+++ b/tests/test_news_groups.py
@@ -10,7 +10,7 @@
 import trio
 
 from ashpond.clients.peer import News, Notices
-from ashpond.controllers.feeds import TableNews
+from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import READER_GROUPS, Member
 from ashpond.decisions.loads import Load
@@ -130,7 +130,7 @@
 
 async def test_what_a_reader_learns_reaches_all_groups(grouped: list[Instance]) -> None:
     row = Row("op", "config", b"new", 7)
-    news = TableNews("op", 6, 7, 1000.5, (row, Row("op", "old", None, 7)))
+    news = TableUpdate("op", 6, 7, 1000.5, (row, Row("op", "old", None, 7)))
     async with running(grouped):
         readers = [i for i in grouped if i.news.is_reader]
         assert 1 <= len(readers) <= READER_GROUPS
@@ -143,7 +143,7 @@
     grouped: list[Instance],
 ) -> None:
     """Other hubs that heard of each such answer would ask the store in turn."""
-    news = TableNews("op", 6, 7, 1000.5, (Row("op", "config", b"new", 7),))
+    news = TableUpdate("op", 6, 7, 1000.5, (Row("op", "config", b"new", 7),))
 
     def list_hubs() -> list[Instance]:
         hubs = [i for i in grouped if i.news.is_hub and not i.news.is_reader]
