--- a/ashpond/controllers/cachestores.py
+++ b/ashpond/controllers/cachestores.py
@@ -111,9 +111,9 @@
                 with trio.move_on_after(IDLE_SECONDS):
                     await self._told.wait()
             else:
-                await self._ask(engines, log)
+                await self._poll(engines, log)
 
-    def take(self, update: TableUpdate) -> bool:
+    def apply_update(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
         now = trio.current_time()
         epoch = self._read_epoch(update)
@@ -152,14 +152,14 @@
         self.knows_all = False
         self._epoch, self._since = epoch, 0
 
-    async def _ask(self, engines: EnginePort, log: DecisionLog) -> None:
+    async def _poll(self, engines: EnginePort, log: DecisionLog) -> None:
         """Ask the store once for its changes, and tell the others."""
         since = self._since
         address = self.store.address
         answer = await engines.read_cache_events(address, since, WAIT_SECONDS)
         had_missed, self._has_missed = self._has_missed, False
         if not isinstance(answer, CacheEvents):
-            await self._note_unanswered(had_missed, answer.reason, log)
+            await self._handle_failure(had_missed, answer.reason, log)
             return
         if not self.is_up:
             log.note("cache_store_up", store=address, epoch=answer.epoch)
@@ -179,7 +179,7 @@
             self._publish(_encode_events(self._name_events(), since, answer))
         await trio.sleep(PAUSE_SECONDS)
 
-    async def _note_unanswered(
+    async def _handle_failure(
         self, had_missed: bool, reason: str, log: DecisionLog
     ) -> None:
         """Go on after a call that brought nothing."""
@@ -245,11 +245,11 @@
         for contents in self.by_address.values():
             contents.expire(now)
 
-    def take(self, update: TableUpdate) -> bool:
+    def apply_update(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
         address = update.table.removeprefix(EVENTS_PREFIX).partition(" ")[0]
         contents = self.by_address.get(address)
-        return contents is not None and contents.take(update)
+        return contents is not None and contents.apply_update(update)
 
     async def follow(
         self,
--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -125,11 +125,11 @@
         while True:
             left = self._measure_patience(trio.current_time())
             if left > 0:
-                await self._await_news(left)
+                await self._wait_for_update(left)
             else:
-                await self._ask()
+                await self._poll()
 
-    def take(self, update: TableUpdate) -> bool:
+    def apply_update(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
         now = trio.current_time()
         era = self._store.era
@@ -137,7 +137,7 @@
             return False
         era.note(update.era, now, now)
         if update.is_whole and (self._version is None or update.after > self._version):
-            return self._take_whole(update, now)
+            return self._apply_full_table(update, now)
         if self._version is None or update.after > self._version:
             # A change in between was missed, or nothing is known yet.
             self._has_gap = self._version is not None
@@ -167,7 +167,7 @@
         self._wake()
         return is_worth
 
-    def _take_whole(self, update: TableUpdate, now: float) -> bool:
+    def _apply_full_table(self, update: TableUpdate, now: float) -> bool:
         """Take a whole table in place of what is known."""
         as_of = self._clock.date_relayed(update.store_time)
         if as_of is None or as_of > now:
@@ -201,7 +201,7 @@
     def _measure_until_stale(self, now: float) -> float:
         return self._as_of + self.feed.patience - now
 
-    async def _await_news(self, seconds: float) -> None:
+    async def _wait_for_update(self, seconds: float) -> None:
         with trio.move_on_after(seconds):
             await self._told.wait()
 
@@ -209,7 +209,7 @@
         self._told.set()
         self._told = trio.Event()
 
-    async def _ask(self) -> None:
+    async def _poll(self) -> None:
         """Ask the store once, and tell the others."""
         feed = self.feed
         after = self._version
@@ -243,18 +243,20 @@
             self._is_restarted = True
             return
         if not isinstance(outcome, Done):
-            await self._wait_after(outcome)
+            await self._handle_failure(outcome)
             return
         snapshot: Snapshot = outcome.value
         if self._is_lost:
             self._log.note("store_regained", table=feed.table, version=snapshot.version)
         self._is_lost = False
         self._retry = RETRY_SECONDS
-        self._adopt(snapshot, after, had_gap)
+        self._apply_snapshot(snapshot, after, had_gap)
         if snapshot.rows:
             await trio.sleep(feed.pause)
 
-    def _adopt(self, snapshot: Snapshot, after: int | None, had_gap: bool) -> None:
+    def _apply_snapshot(
+        self, snapshot: Snapshot, after: int | None, had_gap: bool
+    ) -> None:
         as_of = self._clock.date(snapshot)
         self._as_of = max(self._as_of, as_of)
         # While the call was out, readers may have told of later changes.
@@ -265,9 +267,9 @@
         self.feed.on_rows(snapshot, after is None, as_of)
         # What a hub missed has not reached its group either.
         if self._is_reader() or had_gap:
-            self._tell(snapshot, after)
+            self._publish_update(snapshot, after)
 
-    def _tell(self, snapshot: Snapshot, after: int | None) -> None:
+    def _publish_update(self, snapshot: Snapshot, after: int | None) -> None:
         rows = snapshot.rows
         is_whole = False
         if after is None:
@@ -292,12 +294,12 @@
             )
         )
 
-    async def _wait_after(self, outcome: Unavailable | Unknown) -> None:
+    async def _handle_failure(self, outcome: Unavailable | Unknown) -> None:
         if not self._is_lost:
             self._log.note("store_lost", table=self.feed.table, reason=outcome.reason)
         self._is_lost = True
         self.feed.on_failure()
-        await self._await_news(self._retry)
+        await self._wait_for_update(self._retry)
         is_reader = self._is_reader()
         limit = RETRY_LIMIT_SECONDS if is_reader else IDLE_RETRY_LIMIT_SECONDS
         self._retry = min(limit, self._retry * 2)
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -332,9 +332,9 @@
 
     def _on_table(self, news: TableUpdate) -> bool:
         if news.table.startswith(EVENTS_PREFIX):
-            return self.stores.take(news)
+            return self.stores.apply_update(news)
         follower = self.followers.get(news.table)
-        return follower is not None and follower.take(news)
+        return follower is not None and follower.apply_update(news)
 
     def _get_limits(self) -> IngressLimits:
         declaration = self.knowledge.declaration
--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -84,7 +84,7 @@
 
     def pass_on(self, news: TableUpdate) -> None:
         if self.passes_on:
-            self.other.take(news)
+            self.other.apply_update(news)
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -175,7 +175,7 @@
         await answer_made.wait()
         name = contents._name_events()
         rows = (Row(name, "s\x1frules", b"", 1), Row(name, "s\x1frules", None, 2))
-        assert contents.take(TableUpdate(name, 0, 2, 0.0, rows))
+        assert contents.apply_update(TableUpdate(name, 0, 2, 0.0, rows))
         assert contents.count_tokens("s", PROMPT) == 0
         told.set()
         await trio.testing.wait_all_tasks_blocked()
@@ -264,7 +264,7 @@
 
     def pass_on(news: TableUpdate) -> None:
         for other in others:
-            other.take(news)
+            other.apply_update(news)
 
     reader = CacheStores(lambda: True, pass_on)
     async with trio.open_nursery() as nursery:
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -223,7 +223,7 @@
     contents = StoreContents(CacheStore("127.0.0.1:9", "d"), lambda: False)
     table = f"{EVENTS_PREFIX}127.0.0.1:9 {epoch}"
     told = tuple(Row(table, key, value, version) for key, value, version in rows)
-    contents.take(TableUpdate(table, 0, 9, 0.0, told))
+    contents.apply_update(TableUpdate(table, 0, 9, 0.0, told))
 
 
 def decode_allowance(value: Any) -> None:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -84,7 +84,7 @@
 
     def tell(news: TableUpdate) -> None:
         for other in others:
-            other.follower.take(news)
+            other.follower.apply_update(news)
 
     reader.follower._publish = tell
     async with running(reader, *others):
@@ -147,8 +147,8 @@
         store.put("t", "a", b"2")
         await trio.sleep(2.5)
         late = TableUpdate("t", 0, 99, 0.0, (Row("t", "a", b"late", 99),), era=1)
-        assert not followed.follower.take(late)
-        assert not followed.follower.take(late._replace(is_whole=True))
+        assert not followed.follower.apply_update(late)
+        assert not followed.follower.apply_update(late._replace(is_whole=True))
         assert followed.rows == {"a": b"2"}
 
 
@@ -180,7 +180,7 @@
 
         async def carry(news: TableUpdate) -> None:
             await trio.sleep(0.05)
-            other.follower.take(news)
+            other.follower.apply_update(news)
 
         async with trio.open_nursery() as nursery:
             reader.follower._publish = lambda news: nursery.start_soon(carry, news)
--- a/tests/test_feeds_told.py
+++ b/tests/test_feeds_told.py
@@ -20,7 +20,7 @@
     store = MemoryStore()
     reader, other = Followed(store), Followed(store)
     other.is_reader = False
-    reader.follower._publish = other.follower.take  # type: ignore[assignment]
+    reader.follower._publish = other.follower.apply_update  # type: ignore[assignment]
     async with running(reader, other):
         await trio.sleep(1.0)
         calls = len(store.calls)
@@ -58,7 +58,7 @@
     store.put("t", "a", b"1")
     reader, other = Followed(store), Followed(store)
     other.is_reader = False
-    reader.follower._publish = other.follower.take  # type: ignore[assignment]
+    reader.follower._publish = other.follower.apply_update  # type: ignore[assignment]
     async with running(reader, other):
         await trio.sleep(0.1)
         store.put("other", "x", b"1")
@@ -85,7 +85,7 @@
     reader.follower._publish = told.append
 
     def pass_on(news: TableUpdate) -> None:
-        member.follower.take(news)
+        member.follower.apply_update(news)
 
     hub.follower._publish = pass_on
     async with running(reader, hub, member):
@@ -95,7 +95,7 @@
         store.put("t", "b", b"2")
         await trio.sleep(0.1)
         calls = len(store.calls)
-        assert not hub.follower.take(told[-1])
+        assert not hub.follower.apply_update(told[-1])
         await trio.sleep(0.1)
         assert hub.rows == {"a": b"1", "b": b"2"}
         assert member.rows == hub.rows
@@ -108,7 +108,7 @@
         calls = len(store.calls)
         # What a reader reads anew it tells whole: the hub takes it, passes it on, and
         # neither asks.
-        assert hub.follower.take(told[-1])
+        assert hub.follower.apply_update(told[-1])
         pass_on(told[-1])
         assert hub.rows == {"a": b"1", "b": b"2", "c": b"3"}
         assert member.rows == hub.rows
@@ -138,7 +138,7 @@
         store.put("t", "a", b"1")
         store.put("t", "b", b"2")
         news = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
-        assert not other.follower.take(news)
+        assert not other.follower.apply_update(news)
         await trio.sleep(0.1)
         assert other.rows == {"a": b"1", "b": b"2"}
 
@@ -170,7 +170,7 @@
         store.put("t", "a", b"1")
         store.put("t", "b", b"2")
         news = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
-        assert not other.follower.take(news)
+        assert not other.follower.apply_update(news)
         told.set()
         await trio.sleep(0.1)
         assert other.rows == {"a": b"1", "b": b"2"}
@@ -186,7 +186,7 @@
         await trio.sleep(0.1)
         as_of = other.as_of
         news = TableUpdate("t", 0, 1, 0.0, (Row("t", "a", b"1", 1),))
-        assert not other.follower.take(news)
+        assert not other.follower.apply_update(news)
         assert other.rows == {"a": b"2"}
         assert other.as_of == as_of
 
@@ -202,7 +202,7 @@
         await trio.sleep(0.1)
         as_of = other.as_of
         later = store.clock_offset + trio.current_time() + 5.0
-        assert not other.follower.take(TableUpdate("t", 0, 0, later, ()))
+        assert not other.follower.apply_update(TableUpdate("t", 0, 0, later, ()))
         assert other.as_of == as_of
 
 
@@ -221,7 +221,7 @@
 
     def pass_on(news: TableUpdate) -> None:
         for one in followed:
-            one.follower.take(news)
+            one.follower.apply_update(news)
 
     reader.follower._publish = pass_on
     asked: list[float] = []
