--- a/ashpond/controllers/cachestores.py
+++ b/ashpond/controllers/cachestores.py
@@ -29,7 +29,7 @@
 SAVING_SECONDS = 2.0
 # After so long without news from the readers an instance asks the store, and so often
 # while they stay silent (seconds).
-READERS_SILENCE_SECONDS = 3.0
+READERS_IDLE_TIMEOUT_SECONDS = 3.0
 # What the events are passed on as: a table by this prefix, address and epoch, whose
 # rows are salt and part. Neither holds the separator.
 EVENTS_PREFIX = "cache-events "
@@ -144,7 +144,7 @@
         """Return whether readers tell what there is to know."""
         if self._has_missed or self._is_reader():
             return False
-        return now - self._told_at < READERS_SILENCE_SECONDS
+        return now - self._told_at < READERS_IDLE_TIMEOUT_SECONDS
 
     def _begin_epoch(self, epoch: int | None) -> None:
         """Forget what an earlier life of the store held."""
--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -29,7 +29,7 @@
 RESYNC_SECONDS = 60.0
 # After the store came back from an older copy, who is told by readers waits so long
 # before it asks itself: 195 instances would read all three tables at once (seconds).
-RETURN_PATIENCE_SECONDS = 1.5
+RESTORE_TIMEOUT_SECONDS = 1.5
 # A whole table is told in one message up to this size of its values (bytes).
 MAX_WHOLE_BYTES = 400_000
 # News that make an instance's knowledge younger by less are not forwarded (seconds).
@@ -50,7 +50,7 @@
     table: str
     wait: float
     pause: float
-    patience: float
+    idle_timeout: float
     on_rows: Callable[[Snapshot, bool, float], None]
     on_failure: Callable[[], None]
 
@@ -123,7 +123,7 @@
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            left = self._measure_patience(trio.current_time())
+            left = self._measure_until_poll(trio.current_time())
             if left > 0:
                 await self._wait_for_update(left)
             else:
@@ -188,10 +188,10 @@
         self._wake()
         return True
 
-    def _measure_patience(self, now: float) -> float:
+    def _measure_until_poll(self, now: float) -> float:
         """Return for how long this instance need not ask the store (seconds)."""
         if self._version is None and not self._is_reader():
-            return self._returned_at + RETURN_PATIENCE_SECONDS - now
+            return self._returned_at + RESTORE_TIMEOUT_SECONDS - now
         if self._version is None or self._has_gap or self._is_reader():
             return 0.0
         return min(
@@ -199,7 +199,7 @@
         )
 
     def _measure_until_stale(self, now: float) -> float:
-        return self._as_of + self.feed.patience - now
+        return self._as_of + self.feed.idle_timeout - now
 
     async def _wait_for_update(self, seconds: float) -> None:
         with trio.move_on_after(seconds):
--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -32,7 +32,7 @@
 MEMBERS_WAIT_SECONDS = 20.0
 # After so long without news from the readers beyond their wait, an instance asks the
 # store itself: three steps between instances, and a slow answer (share of the bound).
-READERS_SILENCE_SHARE = 0.12
+READERS_IDLE_TIMEOUT_SHARE = 0.12
 # Changes of servers come in groups while weights are loaded (seconds).
 SERVERS_PAUSE_SECONDS = 0.3
 # A store that came back from an older copy lacks what was written since, until those
@@ -234,13 +234,13 @@
     :param bound: from a key's removal until no request with it may run (seconds).
     """
     operator_wait = bound * OPERATOR_WAIT_SHARE
-    silence = bound * READERS_SILENCE_SHARE
+    idle_timeout = bound * READERS_IDLE_TIMEOUT_SHARE
     return [
         Feed(
             platform.operator_table,
             operator_wait,
             0.0,
-            operator_wait + silence,
+            operator_wait + idle_timeout,
             view.take_operator_rows,
             view.note_failure,
         ),
@@ -248,7 +248,7 @@
             platform.servers_table,
             SERVERS_WAIT_SECONDS,
             SERVERS_PAUSE_SECONDS,
-            SERVERS_WAIT_SECONDS + silence,
+            SERVERS_WAIT_SECONDS + idle_timeout,
             view.take_server_rows,
             view.note_failure,
         ),
@@ -256,7 +256,7 @@
             MEMBERS_TABLE,
             MEMBERS_WAIT_SECONDS,
             SERVERS_PAUSE_SECONDS,
-            MEMBERS_WAIT_SECONDS + silence,
+            MEMBERS_WAIT_SECONDS + idle_timeout,
             members.take_rows,
             lambda: None,
         ),
--- a/tests/followed.py
+++ b/tests/followed.py
@@ -17,7 +17,7 @@
 from ashpond.gateway.store import Snapshot, StoreClock
 from ashpond.standins.tables import MemoryStore
 
-PATIENCE_SECONDS = 3.0
+IDLE_TIMEOUT_SECONDS = 3.0
 
 
 class Followed:
@@ -34,7 +34,7 @@
         self.greatest_age = 0.0
         self.store = store
         self.follower = Follower(
-            Feed("t", 2.0, pause, PATIENCE_SECONDS, self.on_rows, self.on_failure),
+            Feed("t", 2.0, pause, IDLE_TIMEOUT_SECONDS, self.on_rows, self.on_failure),
             store.build_port(),
             StoreClock(),
             self.log,
--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -6,7 +6,7 @@
 import trio.testing
 
 from ashpond.controllers.cachestores import (
-    READERS_SILENCE_SECONDS,
+    READERS_IDLE_TIMEOUT_SECONDS,
     CacheStores,
     StoreContents,
 )
@@ -122,7 +122,7 @@
         await trio.sleep(3.0)
         fleet.passes_on = False
         fleet.store.add("rules")
-        await trio.sleep(READERS_SILENCE_SECONDS + 1.5)
+        await trio.sleep(READERS_IDLE_TIMEOUT_SECONDS + 1.5)
         assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
         nursery.cancel_scope.cancel()
 
@@ -140,7 +140,7 @@
         fleet.passes_on = True
         fleet.store.add("shop")
         # At once after the word that shows the gap, not after the readers' silence.
-        with trio.fail_after(READERS_SILENCE_SECONDS / 2):
+        with trio.fail_after(READERS_IDLE_TIMEOUT_SECONDS / 2):
             while fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 0:
                 await trio.sleep(0.01)
         assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 2000
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -16,7 +16,7 @@
 import trio.testing
 from hypothesis import given, strategies as st
 
-from ashpond.controllers.feeds import RETURN_PATIENCE_SECONDS, TableUpdate
+from ashpond.controllers.feeds import RESTORE_TIMEOUT_SECONDS, TableUpdate
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.orderlease import LEASE_TABLE, OrderLease, make_lease_key
 from ashpond.controllers.quarantinerows import QUARANTINE_TABLE
@@ -95,7 +95,7 @@
         store.return_from(copy)
         store.put("t", "b", b"2")
         calls = len(store.calls)
-        await trio.sleep(RETURN_PATIENCE_SECONDS * 2)
+        await trio.sleep(RESTORE_TIMEOUT_SECONDS * 2)
         assert len(store.calls) - calls <= 6
         for followed in (reader, *others):
             assert followed.rows == {"a": b"1", "b": b"2"}
@@ -111,7 +111,7 @@
         lose_and_reach_again(store)
         store.put("t", "a", b"2")
         other.follower._store.era.note(store.era, trio.current_time(), 0.0)
-        await trio.sleep(RETURN_PATIENCE_SECONDS + 0.1)
+        await trio.sleep(RESTORE_TIMEOUT_SECONDS + 0.1)
         assert other.rows == {"a": b"2"}
 
 
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -9,10 +9,13 @@
 from ashpond.controllers.feeds import (
     RETRY_LIMIT_SECONDS,
 )
-from ashpond.controllers.storeview import OPERATOR_WAIT_SHARE, READERS_SILENCE_SHARE
+from ashpond.controllers.storeview import (
+    OPERATOR_WAIT_SHARE,
+    READERS_IDLE_TIMEOUT_SHARE,
+)
 from ashpond.gateway.admission import AGE_SHARE
 from ashpond.standins.tables import MemoryStore
-from tests.followed import PATIENCE_SECONDS, Followed, running
+from tests.followed import IDLE_TIMEOUT_SECONDS, Followed, running
 
 
 async def test_changes_arrive_at_once(autojump_clock: object) -> None:
@@ -90,7 +93,7 @@
     other.is_reader = False
     other.follower.feed = other.follower.feed._replace(
         wait=bound * OPERATOR_WAIT_SHARE,
-        patience=bound * (OPERATOR_WAIT_SHARE + READERS_SILENCE_SHARE),
+        idle_timeout=bound * (OPERATOR_WAIT_SHARE + READERS_IDLE_TIMEOUT_SHARE),
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(other.run)
@@ -113,7 +116,7 @@
         await trio.sleep(0.1)
         store.is_down = True
         store.put("other", "x", b"1")
-        await trio.sleep(PATIENCE_SECONDS + 1.0)
+        await trio.sleep(IDLE_TIMEOUT_SECONDS + 1.0)
         store.is_down = False
         back_at = trio.current_time()
         await trio.sleep(RETRY_LIMIT_SECONDS + 0.1)
--- a/tests/test_feeds_told.py
+++ b/tests/test_feeds_told.py
@@ -13,7 +13,7 @@
 )
 from ashpond.gateway.store import Row, StoreClock
 from ashpond.standins.tables import MemoryStore
-from tests.followed import PATIENCE_SECONDS, Followed, running
+from tests.followed import IDLE_TIMEOUT_SECONDS, Followed, running
 
 
 async def test_who_is_told_asks_the_store_no_more(autojump_clock: object) -> None:
@@ -40,9 +40,9 @@
     async with running(other):
         await trio.sleep(1.0)
         store.put("t", "a", b"1")
-        await trio.sleep(PATIENCE_SECONDS)
+        await trio.sleep(IDLE_TIMEOUT_SECONDS)
         assert other.rows == {"a": b"1"}
-        assert trio.current_time() - other.as_of < PATIENCE_SECONDS + 0.1
+        assert trio.current_time() - other.as_of < IDLE_TIMEOUT_SECONDS + 0.1
 
 
 async def test_who_relies_on_a_reader_that_reads_anew_learns_the_same(
--- a/tests/test_gateway_ingress.py
+++ b/tests/test_gateway_ingress.py
@@ -344,7 +344,7 @@
     operator = feeds[OPERATOR_TABLE]
     doubt = bound_ms / 1000 * DOUBT_SHARE
     assert operator.wait <= doubt * 0.7
-    assert operator.wait < operator.patience < doubt
+    assert operator.wait < operator.idle_timeout < doubt
 
 
 async def test_a_slow_store_does_not_put_off_the_close(autojump_clock: object) -> None:
