--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -102,7 +102,7 @@
         self._retry = RETRY_SECONDS
         self._told = trio.Event()
         self._changes = store.era.changes
-        self._returned_at = float("-inf")
+        self._restored_at = float("-inf")
         self._call = trio.CancelScope()
         store.era.on_change(self._begin_era)
 
@@ -116,7 +116,7 @@
         self._version = None
         self._has_gap = False
         self._is_restarted = True
-        self._returned_at = trio.current_time()
+        self._restored_at = trio.current_time()
         self._call.cancel()
         self._wake()
 
@@ -191,7 +191,7 @@
     def _measure_until_poll(self, now: float) -> float:
         """Return for how long this instance need not ask the store (seconds)."""
         if self._version is None and not self._is_reader():
-            return self._returned_at + RESTORE_TIMEOUT_SECONDS - now
+            return self._restored_at + RESTORE_TIMEOUT_SECONDS - now
         if self._version is None or self._has_gap or self._is_reader():
             return 0.0
         return min(
--- a/ashpond/controllers/invalidrows.py
+++ b/ashpond/controllers/invalidrows.py
@@ -48,7 +48,7 @@
         """Note that a row is whole, or was removed."""
         self._by_key.pop((table, key), None)
 
-    def forget_versions(self) -> None:
+    def clear_all(self) -> None:
         """Forget which versions were told of: they may be given out again."""
         self._by_key.clear()
 
--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -38,7 +38,7 @@
 # A store that came back from an older copy lacks what was written since, until those
 # who wrote it have done so again. A key that was removed then may be there for so long:
 # nothing that is read meanwhile makes knowledge younger (seconds).
-RETURN_SECONDS = 2.0
+RESTORE_SECONDS = 2.0
 # Servers that have gone are remembered so long, and so many: a copy may hold them.
 GONE_SECONDS = 60.0
 MAX_GONE = 1_000
@@ -81,7 +81,7 @@
         self._on_target = on_target
         self._on_gone = on_gone
         self._failed_at = float("-inf")
-        self._returned_at = float("-inf")
+        self._restored_at = float("-inf")
         # By id the start and when it went, the oldest first.
         self._gone: dict[str, tuple[int | None, float]] = {}
         platform.store.era.on_change(self._begin_era)
@@ -89,14 +89,14 @@
     def _begin_era(self) -> None:
         """Believe what is known rather than a copy, until it has been written again."""
         now = trio.current_time()
-        self._returned_at = now
+        self._restored_at = now
         self._failed_at = now
-        self._invalid_rows.forget_versions()
+        self._invalid_rows.clear_all()
         era = self._platform.store.era
         self._log.note("store_came_back", era=era.current, changes=era.changes)
 
-    def _is_returning(self) -> bool:
-        return trio.current_time() - self._returned_at < RETURN_SECONDS
+    def _is_restoring(self) -> bool:
+        return trio.current_time() - self._restored_at < RESTORE_SECONDS
 
     def note_failure(self) -> None:
         """Note that the store did not answer."""
@@ -120,7 +120,7 @@
                 )
             elif isinstance(found, WeightTarget):
                 self._on_weight_target(found, now)
-        if not self._is_returning():
+        if not self._is_restoring():
             self.knowledge.confirm(as_of)
 
     def _on_weight_target(self, target: WeightTarget, now: float) -> None:
@@ -146,8 +146,8 @@
     ) -> None:
         decoded = {row.key: self._decode_server(row) for row in snapshot.rows}
         servers = [s for s in decoded.values() if isinstance(s, BackendServer)]
-        if self._is_returning():
-            servers = [s for s in map(self._correct_copied, servers) if s is not None]
+        if self._is_restoring():
+            servers = [s for s in map(self._correct_restored, servers) if s is not None]
         invalid = {key for key, s in decoded.items() if isinstance(s, InvalidRow)}
         for gone in self.table.replace_all(
             servers, now, may_reappear=may_reappear, invalid=invalid
@@ -172,7 +172,7 @@
             del self._gone[oldest]
         self._on_gone(gone)
 
-    def _correct_copied(self, server: BackendServer) -> BackendServer | None:
+    def _correct_restored(self, server: BackendServer) -> BackendServer | None:
         """Return what an entry of a copy tells, beside what is known to be newer.
 
         A server that has gone, or is leaving, is in the copy as it was. Those that live
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -20,7 +20,7 @@
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.orderlease import LEASE_TABLE, OrderLease, make_lease_key
 from ashpond.controllers.quarantinerows import QUARANTINE_TABLE
-from ashpond.controllers.storeview import RETURN_SECONDS
+from ashpond.controllers.storeview import RESTORE_SECONDS
 from ashpond.decisions.fleetlinks import Member
 from ashpond.decisions.leases import Lease, make_lease_terms
 from ashpond.gateway.decisionlog import DecisionLog
@@ -41,7 +41,7 @@
 LEASE_SECONDS = 3.0
 
 
-def lose_and_reach_again(store: MemoryStore, steps: int = 13) -> None:
+def restore_and_reach_version(store: MemoryStore, steps: int = 13) -> None:
     """Write, lose what was written, and write as much again as others would."""
     copy = store.take_copy()
     for number in range(steps):
@@ -108,7 +108,7 @@
     other.is_reader = False
     async with running(other):
         await trio.sleep(0.1)
-        lose_and_reach_again(store)
+        restore_and_reach_version(store)
         store.put("t", "a", b"2")
         other.follower._store.era.note(store.era, trio.current_time(), 0.0)
         await trio.sleep(RESTORE_TIMEOUT_SECONDS + 0.1)
@@ -143,7 +143,7 @@
     followed = Followed(store)
     async with running(followed):
         await trio.sleep(0.1)
-        lose_and_reach_again(store)
+        restore_and_reach_version(store)
         store.put("t", "a", b"2")
         await trio.sleep(2.5)
         late = TableUpdate("t", 0, 99, 0.0, (Row("t", "a", b"late", 99),), era=1)
@@ -297,12 +297,12 @@
     await trio.sleep(0.5)
     confirmed_at = knowledge.confirmed_at
     store.put(OPERATOR_TABLE, "other", b"y")
-    await trio.sleep(RETURN_SECONDS - 0.7)
+    await trio.sleep(RESTORE_SECONDS - 0.7)
     assert knowledge.confirmed_at == confirmed_at
     await trio.sleep(2.5)
     store.put(OPERATOR_TABLE, "other", b"z")
     await trio.sleep(0.1)
-    assert knowledge.confirmed_at > confirmed_at + RETURN_SECONDS
+    assert knowledge.confirmed_at > confirmed_at + RESTORE_SECONDS
 
 
 async def test_servers_that_have_left_are_not_used_again(
@@ -526,11 +526,11 @@
         copy = store.take_copy()
         await trio.sleep(1.0)
         store.return_from(copy)
-        returned_at = trio.current_time()
+        restored_at = trio.current_time()
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
     check_orders(orders)
-    after = [order for order in orders if order[0] > returned_at + 1.0]
+    after = [order for order in orders if order[0] > restored_at + 1.0]
     assert after and {name for _, name, _ in orders} == {after[0][1]}
 
 
