--- a/ashpond/controllers/cachestores.py
+++ b/ashpond/controllers/cachestores.py
@@ -69,7 +69,7 @@
         self._told_at = float("-inf")
         self._has_missed = False
         self._accepts_gap = False
-        self._told = trio.Event()
+        self._update_event = trio.Event()
 
     def count_tokens(self, salt: str, prompt: Prompt) -> int:
         """Return how many of the prompt's first tokens the store holds."""
@@ -109,7 +109,7 @@
         while True:
             if self._is_told(trio.current_time()):
                 with trio.move_on_after(IDLE_SECONDS):
-                    await self._told.wait()
+                    await self._update_event.wait()
             else:
                 await self._poll(engines, log)
 
@@ -131,14 +131,14 @@
         self.knows_all = update.is_whole or (self.knows_all and not is_gap)
         self._accepts_gap = False
         is_new = update.version > self._since
-        is_worth = is_new or now - self._told_at >= PAUSE_SECONDS
+        should_forward = is_new or now - self._told_at >= PAUSE_SECONDS
         self._told_at = now
         self.is_up = True
         if is_new:
             self._apply(_decode_events(update, self._since))
             self._since = update.version
         self._wake()
-        return is_worth
+        return should_forward
 
     def _is_told(self, now: float) -> bool:
         """Return whether readers tell what there is to know."""
@@ -203,8 +203,8 @@
         return f"{EVENTS_PREFIX}{self.store.address} {self._epoch}"
 
     def _wake(self) -> None:
-        self._told.set()
-        self._told = trio.Event()
+        self._update_event.set()
+        self._update_event = trio.Event()
 
     def _apply(self, events: tuple[CacheEvent, ...]) -> None:
         for event in events:
--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -33,7 +33,7 @@
 # A whole table is told in one message up to this size of its values (bytes).
 MAX_WHOLE_BYTES = 400_000
 # News that make an instance's knowledge younger by less are not forwarded (seconds).
-NEWS_WORTH_SECONDS = 0.2
+MIN_FORWARD_SECONDS = 0.2
 
 
 class Feed(NamedTuple):
@@ -97,13 +97,13 @@
         self._version: int | None = None
         self._as_of = float("-inf")
         self._has_gap = False
-        self._is_lost = False
-        self._is_restarted = False
-        self._retry = RETRY_SECONDS
-        self._told = trio.Event()
-        self._changes = store.era.changes
+        self._is_store_down = False
+        self._must_publish_table = False
+        self._retry_seconds = RETRY_SECONDS
+        self._update_event = trio.Event()
+        self._era_changes = store.era.changes
         self._restored_at = float("-inf")
-        self._call = trio.CancelScope()
+        self._call_scope = trio.CancelScope()
         store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
@@ -112,12 +112,12 @@
         A call that waits for what comes after it would hear nothing, or not all, and
         its empty answers would make old knowledge seem confirmed.
         """
-        self._changes = self._store.era.changes
+        self._era_changes = self._store.era.changes
         self._version = None
         self._has_gap = False
-        self._is_restarted = True
+        self._must_publish_table = True
         self._restored_at = trio.current_time()
-        self._call.cancel()
+        self._call_scope.cancel()
         self._wake()
 
     async def run(self) -> None:
@@ -150,7 +150,7 @@
             self._wake()
             return False
         is_new = update.version > self._version
-        is_worth = is_new or as_of - self._as_of >= NEWS_WORTH_SECONDS
+        should_forward = is_new or as_of - self._as_of >= MIN_FORWARD_SECONDS
         rows = tuple(row for row in update.rows if row.version > self._version)
         if rows:
             self._log.note(
@@ -165,7 +165,7 @@
         snapshot = Snapshot(rows, update.version, update.store_time, as_of, now)
         self.feed.on_rows(snapshot, False, as_of)
         self._wake()
-        return is_worth
+        return should_forward
 
     def _apply_full_table(self, update: TableUpdate, now: float) -> bool:
         """Take a whole table in place of what is known."""
@@ -203,11 +203,11 @@
 
     async def _wait_for_update(self, seconds: float) -> None:
         with trio.move_on_after(seconds):
-            await self._told.wait()
+            await self._update_event.wait()
 
     def _wake(self) -> None:
-        self._told.set()
-        self._told = trio.Event()
+        self._update_event.set()
+        self._update_event = trio.Event()
 
     async def _poll(self) -> None:
         """Ask the store once, and tell the others."""
@@ -217,10 +217,10 @@
         self._clock.asked_at = trio.current_time()
         # One that shows while the call is out may be newer than its answer.
         self._has_gap = False
-        changes = self._changes
+        era_changes = self._era_changes
         outcome: Done | HistoryLost | Unavailable | Unknown
         outcome = Unknown("the store came back from an older copy")
-        with trio.CancelScope() as self._call:
+        with trio.CancelScope() as self._call_scope:
             if after is None:
                 outcome = await self._store.read(feed.table)
             else:
@@ -228,9 +228,9 @@
                 # store that was lost may have come back from an older copy, which only
                 # an answer tells.
                 is_stale = self._measure_until_stale(trio.current_time()) <= 0
-                wait = 0.0 if had_gap or is_stale or self._is_lost else feed.wait
+                wait = 0.0 if had_gap or is_stale or self._is_store_down else feed.wait
                 outcome = await self._store.follow(feed.table, after, wait)
-        if changes != self._changes and not (
+        if era_changes != self._era_changes and not (
             after is None and isinstance(outcome, Done)
         ):
             # What it brought counts from a version of the time before, if anything.
@@ -240,16 +240,16 @@
         if isinstance(outcome, HistoryLost):
             self._log.note("feed_restarted", table=feed.table, after=after)
             self._version = None
-            self._is_restarted = True
+            self._must_publish_table = True
             return
         if not isinstance(outcome, Done):
             await self._handle_failure(outcome)
             return
         snapshot: Snapshot = outcome.value
-        if self._is_lost:
+        if self._is_store_down:
             self._log.note("store_regained", table=feed.table, version=snapshot.version)
-        self._is_lost = False
-        self._retry = RETRY_SECONDS
+        self._is_store_down = False
+        self._retry_seconds = RETRY_SECONDS
         self._apply_snapshot(snapshot, after, had_gap)
         if snapshot.rows:
             await trio.sleep(feed.pause)
@@ -273,7 +273,7 @@
         rows = snapshot.rows
         is_whole = False
         if after is None:
-            if not self._is_restarted:
+            if not self._must_publish_table:
                 return
             after = snapshot.version
             is_whole = sum(len(r.value or b"") for r in rows) <= MAX_WHOLE_BYTES
@@ -281,7 +281,7 @@
                 # Which rows were removed meanwhile is not known: who knows less sees
                 # from this that it has missed a change, and asks.
                 rows = ()
-        self._is_restarted = False
+        self._must_publish_table = False
         self._publish(
             TableUpdate(
                 self.feed.table,
@@ -295,11 +295,11 @@
         )
 
     async def _handle_failure(self, outcome: Unavailable | Unknown) -> None:
-        if not self._is_lost:
+        if not self._is_store_down:
             self._log.note("store_lost", table=self.feed.table, reason=outcome.reason)
-        self._is_lost = True
+        self._is_store_down = True
         self.feed.on_failure()
-        await self._wait_for_update(self._retry)
+        await self._wait_for_update(self._retry_seconds)
         is_reader = self._is_reader()
         limit = RETRY_LIMIT_SECONDS if is_reader else IDLE_RETRY_LIMIT_SECONDS
-        self._retry = min(limit, self._retry * 2)
+        self._retry_seconds = min(limit, self._retry_seconds * 2)
