--- a/ashpond/controllers/cachestores.py
+++ b/ashpond/controllers/cachestores.py
@@ -24,7 +24,7 @@
 WAIT_SECONDS = 1.0
 PAUSE_SECONDS = 0.25
 RETRY_SECONDS = 0.4
-IDLE_SECONDS = 0.5
+RECHECK_SECONDS = 0.5
 # A part on its way to the store is not sent again within this (seconds).
 SAVING_SECONDS = 2.0
 # After so long without news from the readers an instance asks the store, and so often
@@ -59,15 +59,15 @@
         self.store = store
         self.is_up = False
         # Whether all that the store holds is known, and not only what came since.
-        self.knows_all = False
-        self._held: set[tuple[str, str]] = set()
-        self._saving: dict[tuple[str, str], float] = {}
+        self.is_complete = False
+        self._stored_parts: set[tuple[str, str]] = set()
+        self._saving_since: dict[tuple[str, str], float] = {}
         self._is_reader = is_reader
         self._publish = publish
         self._epoch: int | None = None
-        self._since = 0
-        self._told_at = float("-inf")
-        self._has_missed = False
+        self._last_number = 0
+        self._updated_at = float("-inf")
+        self._has_gap = False
         self._accepts_gap = False
         self._update_event = trio.Event()
 
@@ -77,7 +77,7 @@
             return 0
         tokens = 0
         for part in prompt.parts[:-1]:
-            if (salt, part.id) not in self._held:
+            if (salt, part.id) not in self._stored_parts:
                 break
             tokens += part.tokens
         return tokens
@@ -89,26 +89,29 @@
         missing = [
             (salt, part.id)
             for part in prompt.parts[:-1]
-            if (salt, part.id) not in self._held
-            and now - self._saving.get((salt, part.id), float("-inf")) > SAVING_SECONDS
+            if (salt, part.id) not in self._stored_parts
+            and now - self._saving_since.get((salt, part.id), float("-inf"))
+            > SAVING_SECONDS
         ]
         for key in missing:
-            self._saving[key] = now
+            self._saving_since[key] = now
         return bool(missing)
 
     def expire(self, now: float) -> None:
         """Drop what has long been saved."""
-        self._saving = {
-            key: at for key, at in self._saving.items() if now - at <= SAVING_SECONDS
+        self._saving_since = {
+            key: at
+            for key, at in self._saving_since.items()
+            if now - at <= SAVING_SECONDS
         }
 
     async def follow(self, engines: EnginePort, log: DecisionLog) -> None:
         """Follow the store until cancelled."""
         # Those that rely on readers hear of it within a moment.
-        self._told_at = trio.current_time()
+        self._updated_at = trio.current_time()
         while True:
-            if self._is_told(trio.current_time()):
-                with trio.move_on_after(IDLE_SECONDS):
+            if self._is_served_by_readers(trio.current_time()):
+                with trio.move_on_after(RECHECK_SECONDS):
                     await self._update_event.wait()
             else:
                 await self._poll(engines, log)
@@ -116,50 +119,50 @@
     def apply_update(self, update: TableUpdate) -> bool:
         """Take what a reader has forwarded; return whether to forward it."""
         now = trio.current_time()
-        epoch = self._read_epoch(update)
-        is_other = epoch != self._epoch
-        if epoch is None or (self._is_reader() and is_other):
+        epoch = self._parse_epoch(update)
+        is_new_epoch = epoch != self._epoch
+        if epoch is None or (self._is_reader() and is_new_epoch):
             # Of another life, a reader asks the store itself.
             return False
-        is_gap = update.after > (0 if is_other else self._since)
+        is_gap = update.after > (0 if is_new_epoch else self._last_number)
         if is_gap and not self._accepts_gap:
-            self._has_missed = True
+            self._has_gap = True
             self._wake()
             return False
-        if is_other:
+        if is_new_epoch:
             self._begin_epoch(epoch)
-        self.knows_all = update.is_whole or (self.knows_all and not is_gap)
+        self.is_complete = update.is_whole or (self.is_complete and not is_gap)
         self._accepts_gap = False
-        is_new = update.version > self._since
-        should_forward = is_new or now - self._told_at >= PAUSE_SECONDS
-        self._told_at = now
+        is_new = update.version > self._last_number
+        should_forward = is_new or now - self._updated_at >= PAUSE_SECONDS
+        self._updated_at = now
         self.is_up = True
         if is_new:
-            self._apply(_decode_events(update, self._since))
-            self._since = update.version
+            self._apply(_decode_events(update, self._last_number))
+            self._last_number = update.version
         self._wake()
         return should_forward
 
-    def _is_told(self, now: float) -> bool:
+    def _is_served_by_readers(self, now: float) -> bool:
         """Return whether readers tell what there is to know."""
-        if self._has_missed or self._is_reader():
+        if self._has_gap or self._is_reader():
             return False
-        return now - self._told_at < READERS_IDLE_TIMEOUT_SECONDS
+        return now - self._updated_at < READERS_IDLE_TIMEOUT_SECONDS
 
     def _begin_epoch(self, epoch: int | None) -> None:
         """Forget what an earlier life of the store held."""
-        self._held.clear()
-        self.knows_all = False
-        self._epoch, self._since = epoch, 0
+        self._stored_parts.clear()
+        self.is_complete = False
+        self._epoch, self._last_number = epoch, 0
 
     async def _poll(self, engines: EnginePort, log: DecisionLog) -> None:
         """Ask the store once for its changes, and tell the others."""
-        since = self._since
+        since = self._last_number
         address = self.store.address
         answer = await engines.read_cache_events(address, since, WAIT_SECONDS)
-        had_missed, self._has_missed = self._has_missed, False
+        had_gap, self._has_gap = self._has_gap, False
         if not isinstance(answer, CacheEvents):
-            await self._handle_failure(had_missed, answer.reason, log)
+            await self._handle_failure(had_gap, answer.reason, log)
             return
         if not self.is_up:
             log.note("cache_store_up", store=address, epoch=answer.epoch)
@@ -167,38 +170,41 @@
         if self._epoch is not None and answer.epoch != self._epoch:
             self._begin_epoch(answer.epoch)
             # What it holds now is asked for at once.
-            self._has_missed = True
+            self._has_gap = True
             return
         if since == 0 or answer.is_gap:
-            self.knows_all = not answer.is_gap
+            self.is_complete = not answer.is_gap
         # Readers may have told of later events while the call was out.
-        self._apply(tuple(e for e in answer.events if e.number > self._since))
-        self._epoch, self._since = answer.epoch, max(self._since, answer.next)
-        self._told_at = trio.current_time()
+        self._apply(tuple(e for e in answer.events if e.number > self._last_number))
+        self._epoch, self._last_number = (
+            answer.epoch,
+            max(self._last_number, answer.next),
+        )
+        self._updated_at = trio.current_time()
         if self._is_reader():
-            self._publish(_encode_events(self._name_events(), since, answer))
+            self._publish(_encode_events(self._make_table_name(), since, answer))
         await trio.sleep(PAUSE_SECONDS)
 
     async def _handle_failure(
-        self, had_missed: bool, reason: str, log: DecisionLog
+        self, had_gap: bool, reason: str, log: DecisionLog
     ) -> None:
         """Go on after a call that brought nothing."""
-        if had_missed and not self._is_reader():
+        if had_gap and not self._is_reader():
             self._accepts_gap = True
             return
         if self.is_up:
             log.note("cache_store_lost", store=self.store.address, reason=reason)
         self.is_up = False
         # While readers are silent too, all of a fleet would ask.
-        self._told_at = trio.current_time()
+        self._updated_at = trio.current_time()
         await trio.sleep(RETRY_SECONDS)
 
-    def _read_epoch(self, update: TableUpdate) -> int | None:
+    def _parse_epoch(self, update: TableUpdate) -> int | None:
         """Return the life of the store that news are about."""
         text = update.table.rpartition(" ")[2]
         return int(text) if text.isascii() and text.isdigit() else None
 
-    def _name_events(self) -> str:
+    def _make_table_name(self) -> str:
         """Return what the events of this life of the store are passed on as."""
         return f"{EVENTS_PREFIX}{self.store.address} {self._epoch}"
 
@@ -210,9 +216,9 @@
         for event in events:
             key = (event.salt, event.part)
             if event.is_stored:
-                self._held.add(key)
+                self._stored_parts.add(key)
             else:
-                self._held.discard(key)
+                self._stored_parts.discard(key)
 
 
 class CacheStores:
@@ -228,12 +234,12 @@
         self._publish = publish
         self._scopes: dict[str, trio.CancelScope] = {}
 
-    def pick(self, prompt: Prompt, wall: str) -> StoreContents | None:
+    def pick(self, prompt: Prompt, cache_namespace: str) -> StoreContents | None:
         """Return the store for the parts of a prompt, if one is up."""
         up = [a for a, contents in self.by_address.items() if contents.is_up]
         if not up or len(prompt.parts) < 2:
             return None
-        address = rank_homes(prompt.parts[-2].id, wall, up)[0]
+        address = rank_homes(prompt.parts[-2].id, cache_namespace, up)[0]
         return self.by_address[address]
 
     def count_up(self) -> int:
@@ -266,7 +272,7 @@
                     self._scopes.pop(address).cancel()
                 for address in sorted(wanted.keys() - self.by_address.keys()):
                     self._add(nursery, wanted[address], engines, log)
-                await trio.sleep(IDLE_SECONDS)
+                await trio.sleep(RECHECK_SECONDS)
 
     def _add(
         self,
--- a/ashpond/gateway/places.py
+++ b/ashpond/gateway/places.py
@@ -229,7 +229,7 @@
         address = source.address if source else None
         is_missing = found < count_shared_tokens(demand.prompt)
         store = self.stores.pick(demand.prompt, demand.cache_namespace)
-        if is_missing and store is not None and not store.knows_all:
+        if is_missing and store is not None and not store.is_complete:
             # An instance that has just started hears of what is saved from now on; the
             # store mostly holds what others read before.
             address = store.store.address
--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -173,7 +173,7 @@
         port = EnginePort(None, None, read)  # type: ignore[arg-type]
         nursery.start_soon(contents.follow, port, DecisionLog("test"))
         await answer_made.wait()
-        name = contents._name_events()
+        name = contents._make_table_name()
         rows = (Row(name, "s\x1frules", b"", 1), Row(name, "s\x1frules", None, 2))
         assert contents.apply_update(TableUpdate(name, 0, 2, 0.0, rows))
         assert contents.count_tokens("s", PROMPT) == 0
@@ -195,12 +195,12 @@
         nursery.start_soon(fleet.run)
         await trio.sleep(3.0)
         contents = [s.by_address[STORE.address] for s in (fleet.reader, fleet.other)]
-        assert [c.knows_all for c in contents] == [False, False]
+        assert [c.is_complete for c in contents] == [False, False]
         fleet.store.epoch += 1
         fleet.store.events.clear()
         fleet.store.forgotten = 0
         await trio.sleep(6.0)
-        assert [c.knows_all for c in contents] == [True, True]
+        assert [c.is_complete for c in contents] == [True, True]
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_gateway_selection.py
+++ b/tests/test_gateway_selection.py
@@ -226,9 +226,9 @@
     assert place.salt == make_salt("shared", MODEL, 1)
 
 
-@pytest.mark.parametrize("knows_all", [False, True])
+@pytest.mark.parametrize("is_complete", [False, True])
 async def test_who_has_just_started_asks_the_store_for_what_nobody_is_known_to_hold(
-    knows_all: bool,
+    is_complete: bool,
 ) -> None:
     """All instances had begun anew: 1.8 million shared tokens had no source in 3 s."""
     prompt = make_prompt()
@@ -236,12 +236,12 @@
     places = make_places(table)
     store = StoreContents(CacheStore("10.0.0.9:80", "north"))
     store.is_up = True
-    store.knows_all = knows_all
+    store.is_complete = is_complete
     places.stores.by_address[store.store.address] = store
     now = trio.current_time()
     place = await places.take(make_demand(prompt), 1, now)
     assert place is not None
-    assert place.fetch_from == (None if knows_all else store.store.address)
+    assert place.fetch_from == (None if is_complete else store.store.address)
 
 
 async def test_nothing_is_fetched_across_weights() -> None:
