--- a/ashpond/controllers/admission.py
+++ b/ashpond/controllers/admission.py
@@ -160,7 +160,9 @@
             service = self._configuration.current.services.get(name)
             if service is None:
                 continue
-            places = self._engines.count_places(name, service.concurrency_per_server)
+            places = self._engines.list_slot_counts(
+                name, service.concurrency_per_server
+            )
             queue.capacity = sum_capacity(places, instances)
             queue.servers = max(1, len(places)) / instances
             queue.pressure = self._engines.estimate_wait(name)
--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -82,7 +82,7 @@
         self.report = report
         self.health.note_report(now)
 
-    def describe(self, blocks: tuple[int, ...]) -> Candidate:
+    def build_candidate(self, blocks: tuple[int, ...]) -> Candidate:
         """Return what placement reads of this server."""
         since = self.report.observed_at if self.report else float("-inf")
         recent = [entry for entry in self.in_flight if entry.sent_at > since]
@@ -115,7 +115,7 @@
         )
         self.servers: dict[str, ServerState] = {}
         # Is told of each start of a server that is seen to have ended.
-        self.on_end: Callable[[WatchedServer, CrashEvidence], None] = (
+        self.on_crash: Callable[[WatchedServer, CrashEvidence], None] = (
             lambda server, evidence: None
         )
         self._changed = trio.Event()
@@ -128,7 +128,7 @@
     async def run(self) -> None:
         """Watch the servers of whichever configuration is in force."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow_list)
+            nursery.start_soon(self._follow_member_list)
             while True:
                 self._changed = trio.Event()
                 self._reconcile(nursery)
@@ -175,15 +175,15 @@
         now = trio.current_time()
         before = state.watched
         state.take_report(line.report._replace(observed_at=now - line.age), now)
-        self._note_new_start(state, before)
+        self._detect_restart(state, before)
         self._set_draining(state, line.report.draining)
         if line.events is not None and state.view.note_events(*line.events):
             self._metrics.event_gaps.inc({"server": state.name})
 
-    def _note_new_start(self, state: ServerState, before: WatchedServer) -> None:
+    def _detect_restart(self, state: ServerState, before: WatchedServer) -> None:
         is_first = before.id == f"{state.name}#"
         if not is_first and state.watched.id != before.id:
-            self.on_end(before, CrashEvidence.NEW_START)
+            self.on_crash(before, CrashEvidence.NEW_START)
 
     async def _poll_plain(self, state: ServerState) -> None:
         draining = await fetch_draining(self._client, state.config.address)
@@ -191,27 +191,30 @@
             state.health.note_report(trio.current_time())
             self._set_draining(state, draining)
 
-    def _set_draining(self, state: ServerState, own_word: bool) -> None:
-        leaving = own_word or state.config.address in self._collect_leaving()
+    def _set_draining(self, state: ServerState, is_self_reported: bool) -> None:
+        leaving = (
+            is_self_reported
+            or state.config.address in self._collect_leaving_addresses()
+        )
         if leaving != state.health.draining:
             state.health.draining = leaving
             extra = {"server": state.name, "leaving": leaving}
             logger.notice("server_leaving", extra=extra)
 
-    def _collect_leaving(self) -> set[str]:
+    def _collect_leaving_addresses(self) -> set[str]:
         """Return the addresses that the platform or a peer says are leaving."""
         listed = {
             member.address
             for member in self._members.listed
             if member.kind is MemberKind.BACKEND_SERVER and member.leaving
         }
-        said = self._members.read_parts(LEAVING_PART).values()
-        return listed.union(*(part for part in said if isinstance(part, list)))
+        reported = self._members.read_parts(LEAVING_PART).values()
+        return listed.union(*(part for part in reported if isinstance(part, list)))
 
-    async def _follow_list(self) -> None:
+    async def _follow_member_list(self) -> None:
         # A server that answers no more still has to be left when it is listed.
         while True:
-            leaving = self._collect_leaving()
+            leaving = self._collect_leaving_addresses()
             for state in self.servers.values():
                 if state.config.address in leaving and not state.health.draining:
                     self._set_draining(state, True)
@@ -239,8 +242,8 @@
         }
         usable = select_usable(list(health), health, now)
         others = [name for name in usable if name not in skip] or usable
-        settled = [name for name in others if not self.servers[name].is_loading]
-        return [self.servers[name] for name in settled or others]
+        loaded = [name for name in others if not self.servers[name].is_loading]
+        return [self.servers[name] for name in loaded or others]
 
     def list_of_service(self, service: str) -> list[ServerState]:
         """Return the servers of a service, usable or not."""
@@ -258,7 +261,7 @@
         for state in self.list_usable(service, set()):
             if state.report is None:
                 continue
-            own = state.describe(())
+            own = state.build_candidate(())
             assumed = own._replace(
                 own_tokens=own.own_tokens * instances,
                 own_requests=own.own_requests * instances,
@@ -266,7 +269,7 @@
             waits.append(estimate_prefill_wait(assumed, now))
         return min(waits, default=0.0)
 
-    def count_places(self, service: str, declared: int) -> list[int]:
+    def list_slot_counts(self, service: str, declared: int) -> list[int]:
         """Return how many requests each usable server runs at once."""
         now = trio.current_time()
         return [
@@ -305,7 +308,7 @@
             return
         before = state.watched
         state.view.adopt_incarnation(incarnation)
-        self._note_new_start(state, before)
+        self._detect_restart(state, before)
         if cached is not None:
             state.view.note_cached(incarnation, blocks, cached)
         state.view.note_used(incarnation, blocks)
@@ -316,7 +319,7 @@
         if state is None:
             return
         if refused:
-            self.on_end(state.watched, CrashEvidence.REFUSED)
+            self.on_crash(state.watched, CrashEvidence.REFUSED)
         if state.health.note_failure(trio.current_time(), refused=refused):
             self._metrics.ejections.inc({"server": name})
             logger.warning("server_ejected", extra={"server": name})
@@ -328,7 +331,7 @@
             state.health.note_backoff(trio.current_time(), seconds)
             logger.notice("server_backoff", extra={"server": name, "seconds": seconds})
 
-    def find_return(self, service: str) -> float | None:
+    def find_retry_wait(self, service: str) -> float | None:
         """Return in how many seconds the first backoff of a service ends.
 
         None if one takes work now, or all leave.
@@ -339,7 +342,7 @@
         wait = min((h.backoff_until for h in staying), default=now) - now
         return wait if wait > 0 else None
 
-    def is_silent(self, name: str) -> bool:
+    def is_unresponsive(self, name: str) -> bool:
         """Return whether a server has not reported for a while, or is gone."""
         state = self.servers.get(name)
         return state is None or not state.health.is_reporting(trio.current_time())
@@ -360,7 +363,7 @@
     def import_views(self, views: dict[str, Any]) -> None:
         """Take in a peer's cache views, for incarnations that still run."""
         for name, item in views.items():
-            if name not in self.servers or not _is_view(item):
+            if name not in self.servers or not _is_cache_view(item):
                 continue
             incarnation, blocks = item
             view = self.servers[name].view
@@ -369,7 +372,7 @@
             view.note_used(incarnation, reversed(blocks))
 
 
-def _is_view(item: Any) -> bool:
+def _is_cache_view(item: Any) -> bool:
     if not isinstance(item, list) or len(item) != 2:
         return False
     incarnation, blocks = item
--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -134,7 +134,7 @@
         run = call.progress.run
         if run is RunState.NOT_RUN:
             wait = NO_SERVER_RETRY_SECONDS * self._rng.uniform(1, 2)
-            wait = max(wait, self._engines.find_return(call.service_name) or 0.0)
+            wait = max(wait, self._engines.find_retry_wait(call.service_name) or 0.0)
             refusal = Refusal(UNAVAILABLE, "unavailable", message, run, wait)
         else:
             refusal = Refusal(FAILED, "outcome_unknown", message, run)
@@ -269,7 +269,7 @@
         return outcome
 
     async def _cancel_if_silent(self, attempt: _Attempt, nursery: trio.Nursery) -> None:
-        while not self._engines.is_silent(attempt.placement.server):
+        while not self._engines.is_unresponsive(attempt.placement.server):
             await trio.sleep(SILENCE_CHECK_SECONDS)
         nursery.cancel_scope.cancel()
 
--- a/ashpond/filters/placement.py
+++ b/ashpond/filters/placement.py
@@ -64,7 +64,8 @@
             return None
         chains = hash_for_weights(call, usable)
         candidates = [
-            state.describe(chains[find_weights(call, state)].blocks) for state in usable
+            state.build_candidate(chains[find_weights(call, state)].blocks)
+            for state in usable
         ]
         placed = choose(call, candidates, chains)
         state = engines.servers[placed.name]
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -45,7 +45,7 @@
 class Told:
     def __init__(self) -> None:
         self.members = FakeMembers()
-        self.engines = SimpleNamespace(servers={}, on_end=None)
+        self.engines = SimpleNamespace(servers={}, on_crash=None)
         self.ends = CallQuarantine(
             make_settings(),
             self.engines,  # type: ignore[arg-type]
@@ -57,7 +57,7 @@
         """Lose a call with the end of a server's start."""
         server = WatchedServer(start, start, None, "127.0.0.1:9", "reader", False)
         self.ends.note_broken(call, server, trio.current_time() - 0.1)
-        self.engines.on_end(server, CrashEvidence.NEW_START)
+        self.engines.on_crash(server, CrashEvidence.NEW_START)
 
     def judge(self, call: Call) -> QuarantineState:
         return self.ends.judge(self.ends.identify(call))
