--- a/ashpond/controllers/rollout.py
+++ b/ashpond/controllers/rollout.py
@@ -28,7 +28,7 @@
 logger = Logger("ashpond.rollout")
 
 TICK_SECONDS = 1.0
-CONTENDERS = 2
+MAX_CONTENDERS = 2
 ORDER_SECONDS = 1.0
 
 
@@ -65,21 +65,21 @@
             await trio.sleep(TICK_SECONDS)
             for name, service in self._configuration.current.services.items():
                 if service.kind == "model" and service.weights:
-                    await self._tend(name, service.weights)
+                    await self._roll_out(name, service.weights)
 
-    async def _tend(self, service: str, weights: str) -> None:
+    async def _roll_out(self, service: str, weights: str) -> None:
         lease = self.leases.setdefault(service, Lease(self._holder))
         live = [fact.origin for fact in self._members.list_live()]
-        contenders = choose_watchers(service, [*live, self._address], CONTENDERS)
+        contenders = choose_watchers(service, [*live, self._address], MAX_CONTENDERS)
         if self._address not in contenders:
             return
-        await self._keep_lease(service, lease)
+        await self._renew_lease(service, lease)
         if lease.holds(trio.current_time()):
             await self._give_orders(service, weights, lease)
 
-    async def _keep_lease(self, service: str, lease: Lease) -> None:
+    async def _renew_lease(self, service: str, lease: Lease) -> None:
         key = f"lease/{service}"
-        held = lease.holds(trio.current_time())
+        was_holder = lease.holds(trio.current_time())
         read = await self._platform.get_row(key)
         if not isinstance(read, Done):
             return
@@ -95,14 +95,14 @@
         if isinstance(outcome, Done):
             outcome = Done(outcome.value[0])
         lease.on_write(write, outcome, sent_at)
-        if not held and lease.holds(trio.current_time()):
+        if not was_holder and lease.holds(trio.current_time()):
             extra = {"service": service, "fence": lease.fence}
             logger.notice("lease_taken", extra=extra)
 
     async def _give_orders(self, service: str, weights: str, lease: Lease) -> None:
         servers = {s.name: s for s in self._engines.list_of_service(service)}
         now = trio.current_time()
-        observed = [_observe(state, now) for state in servers.values()]
+        observed = [_read_weights(state, now) for state in servers.values()]
         for name in plan_rollout(observed, weights):
             # Checked straight before each send: this process may have slept.
             if not lease.holds(trio.current_time()):
@@ -116,7 +116,7 @@
                 logger.notice("weights_ordered", extra=extra)
 
 
-def _observe(state: ServerState, now: float) -> EngineWeights:
+def _read_weights(state: ServerState, now: float) -> EngineWeights:
     report = state.report
     if report is None:
         return EngineWeights(state.name, "", "", False)
