--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -40,8 +40,8 @@
 # nothing that is read meanwhile makes knowledge younger (seconds).
 RESTORE_SECONDS = 2.0
 # Servers that have gone are remembered so long, and so many: a copy may hold them.
-GONE_SECONDS = 60.0
-MAX_GONE = 1_000
+REMOVED_SECONDS = 60.0
+MAX_REMOVED = 1_000
 # Entries that vanish so soon after the store failed may come back (seconds).
 RECENT_OUTAGE_SECONDS = 5.0
 
@@ -68,7 +68,7 @@
         on_configuration: Callable[[], None],
         on_servers: Callable[[], None],
         on_target: Callable[[], None],
-        on_gone: Callable[[ServerState], None],
+        on_removed: Callable[[ServerState], None],
     ):
         self.knowledge = Knowledge()
         self.table = ServerTable()
@@ -79,11 +79,11 @@
         self._on_configuration = on_configuration
         self._on_servers = on_servers
         self._on_target = on_target
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._failed_at = float("-inf")
         self._restored_at = float("-inf")
         # By id the start and when it went, the oldest first.
-        self._gone: dict[str, tuple[int | None, float]] = {}
+        self._removed: dict[str, tuple[int | None, float]] = {}
         platform.store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
@@ -149,10 +149,10 @@
         if self._is_restoring():
             servers = [s for s in map(self._correct_restored, servers) if s is not None]
         invalid = {key for key, s in decoded.items() if isinstance(s, InvalidRow)}
-        for gone in self.table.replace_all(
+        for removed in self.table.replace_all(
             servers, now, may_reappear=may_reappear, invalid=invalid
         ):
-            self._note_gone(gone)
+            self._note_removed(removed)
         self._log.note(
             "servers",
             count=len(servers),
@@ -160,17 +160,17 @@
             version=snapshot.version,
         )
 
-    def _note_gone(self, gone: ServerState) -> None:
+    def _note_removed(self, removed: ServerState) -> None:
         now = trio.current_time()
-        self._gone.pop(gone.info.id, None)
-        self._gone[gone.info.id] = (gone.info.started_ms, now)
-        while self._gone:
-            oldest = next(iter(self._gone))
-            is_old = now - self._gone[oldest][1] > GONE_SECONDS
-            if not is_old and len(self._gone) <= MAX_GONE:
+        self._removed.pop(removed.info.id, None)
+        self._removed[removed.info.id] = (removed.info.started_ms, now)
+        while self._removed:
+            oldest = next(iter(self._removed))
+            is_old = now - self._removed[oldest][1] > REMOVED_SECONDS
+            if not is_old and len(self._removed) <= MAX_REMOVED:
                 break
-            del self._gone[oldest]
-        self._on_gone(gone)
+            del self._removed[oldest]
+        self._on_removed(removed)
 
     def _correct_restored(self, server: BackendServer) -> BackendServer | None:
         """Return what an entry of a copy tells, beside what is known to be newer.
@@ -178,10 +178,10 @@
         A server that has gone, or is leaving, is in the copy as it was. Those that live
         write their entries again, which then come as changes.
         """
-        gone = self._gone.get(server.id)
+        removed = self._removed.get(server.id)
         if (
-            gone is not None
-            and compare_starts(gone[0], server.started_ms) is StartOrder.SAME
+            removed is not None
+            and compare_starts(removed[0], server.started_ms) is StartOrder.SAME
         ):
             return None
         state = self.table.by_id.get(server.id)
@@ -208,10 +208,10 @@
             self.table.note_invalid_entry(row.key)
             return
         if server is None:
-            gone = self.table.remove(row.key, now, may_reappear=may_reappear)
+            removed = self.table.remove(row.key, now, may_reappear=may_reappear)
             self._log.note("server_gone", server=row.key, may_lapse=may_reappear)
-            if gone is not None:
-                self._note_gone(gone)
+            if removed is not None:
+                self._note_removed(removed)
             return
         self.table.update(server, now)
         self._log.note(
@@ -227,14 +227,14 @@
 
 
 def build_feeds(
-    platform: Platform, view: StoreView, members: Members, bound: float
+    platform: Platform, view: StoreView, members: Members, revocation_bound: float
 ) -> list[Feed]:
     """Return the tables that an instance follows.
 
     :param bound: from a key's removal until no request with it may run (seconds).
     """
-    operator_wait = bound * OPERATOR_WAIT_SHARE
-    idle_timeout = bound * READERS_IDLE_TIMEOUT_SHARE
+    operator_wait = revocation_bound * OPERATOR_WAIT_SHARE
+    idle_timeout = revocation_bound * READERS_IDLE_TIMEOUT_SHARE
     return [
         Feed(
             platform.operator_table,
