--- a/tests/followed.py
+++ b/tests/followed.py
@@ -20,18 +20,18 @@
 IDLE_TIMEOUT_SECONDS = 3.0
 
 
-class Followed:
+class FollowedTable:
     """What a feed has told."""
 
     def __init__(self, store: MemoryStore, pause: float = 0.0):
         self.rows: dict[str, bytes | None] = {}
-        self.wholes = 0
+        self.full_reads = 0
         self.failures = 0
         self.log = DecisionLog("test")
         self.is_reader = True
         self.published: list[TableUpdate] = []
         self.as_of = float("-inf")
-        self.greatest_age = 0.0
+        self.max_age = 0.0
         self.store = store
         self.follower = Follower(
             Feed("t", 2.0, pause, IDLE_TIMEOUT_SECONDS, self.on_rows, self.on_failure),
@@ -43,13 +43,13 @@
         )
 
     def on_rows(self, snapshot: Snapshot, is_whole: bool, as_of: float) -> None:
-        if self.wholes:
+        if self.full_reads:
             age = trio.current_time() - self.as_of
-            self.greatest_age = max(self.greatest_age, age)
+            self.max_age = max(self.max_age, age)
         self.as_of = max(self.as_of, as_of)
         if is_whole:
             self.rows = {}
-            self.wholes += 1
+            self.full_reads += 1
         self.rows |= {row.key: row.value for row in snapshot.rows}
 
     def on_failure(self) -> None:
@@ -63,7 +63,7 @@
 
 
 @asynccontextmanager
-async def running(*followed: Followed) -> AsyncIterator[None]:
+async def running(*followed: FollowedTable) -> AsyncIterator[None]:
     """Have each follow its table meanwhile."""
     async with trio.open_nursery() as nursery:
         for one in followed:
--- a/tests/row_builders.py
+++ b/tests/row_builders.py
@@ -102,7 +102,7 @@
                 self.view.clock,
                 self.log,
                 lambda: True,
-                lambda news: None,
+                lambda update: None,
             )
             for feed in build_feeds(platform, self.view, self.members, BOUND_SECONDS)
         ]
--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -20,17 +20,17 @@
 
 STORE = CacheStore("10.0.0.9:80", "north")
 PROMPT = make_prompt("rules", "shop", "own")
-MAX_HELD = 12
+MAX_CALLS = 12
 
 
-class StandIn:
+class FakeCacheStore:
     """A cache store whose events a test adds."""
 
     def __init__(self) -> None:
         self.epoch = 5
         self.events: list[CacheEvent] = []
         self.calls = 0
-        self.forgotten = 0
+        self.first_kept = 0
         self.is_down = False
 
     def add(self, part: str, *, is_stored: bool = True) -> None:
@@ -44,51 +44,51 @@
             return NotRun("down")
         if len(self.events) <= since:
             await trio.sleep(wait)
-        new = tuple(self.events[max(since, self.forgotten) :])
-        is_gap = since < self.forgotten
+        new = tuple(self.events[max(since, self.first_kept) :])
+        is_gap = since < self.first_kept
         return CacheEvents(self.epoch, len(self.events), is_gap, new)
 
     def build_port(self) -> EnginePort:
         return EnginePort(None, None, self.read)  # type: ignore[arg-type]
 
 
-class BusyStandIn(StandIn):
+class LimitedCacheStore(FakeCacheStore):
     """A cache store that holds a dozen calls at once, and refuses others."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.held = 0
+        self.running_calls = 0
         self.refused = 0
 
     async def read(
         self, address: str, since: int, wait: float
     ) -> CacheEvents | NotRun | MaybeRun:
-        if self.held >= MAX_HELD:
+        if self.running_calls >= MAX_CALLS:
             self.refused += 1
             return NotRun("status 429")
-        self.held += 1
+        self.running_calls += 1
         try:
             return await super().read(address, since, wait)
         finally:
-            self.held -= 1
+            self.running_calls -= 1
 
 
-class Fleet:
+class ReaderAndListener:
     """A reader and one that listens to it."""
 
     def __init__(self) -> None:
-        self.store = StandIn()
-        self.passes_on = True
-        self.reader = CacheStores(lambda: True, self.pass_on)
-        self.other = CacheStores(lambda: False)
+        self.store = FakeCacheStore()
+        self.is_forwarding = True
+        self.reader = CacheStores(lambda: True, self.forward)
+        self.listener = CacheStores(lambda: False)
 
-    def pass_on(self, news: TableUpdate) -> None:
-        if self.passes_on:
-            self.other.apply_update(news)
+    def forward(self, update: TableUpdate) -> None:
+        if self.is_forwarding:
+            self.listener.apply_update(update)
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            for stores in (self.reader, self.other):
+            for stores in (self.reader, self.listener):
                 nursery.start_soon(
                     stores.follow,
                     lambda: (STORE,),
@@ -98,53 +98,55 @@
 
 
 async def test_events_that_a_reader_passes_on_are_known(autojump_clock: object) -> None:
-    fleet = Fleet()
+    pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.run)
+        nursery.start_soon(pair.run)
         await trio.sleep(3.0)
-        before = fleet.store.calls
-        fleet.store.add("rules")
+        before = pair.store.calls
+        pair.store.add("rules")
         await trio.sleep(1.5)
-        assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
-        fleet.store.add("rules", is_stored=False)
-        fleet.store.add("shop")
+        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
+        pair.store.add("rules", is_stored=False)
+        pair.store.add("shop")
         await trio.sleep(1.5)
-        assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
         # Only the reader has asked: at most once a second and a pause.
-        assert fleet.store.calls - before <= 5
+        assert pair.store.calls - before <= 5
         nursery.cancel_scope.cancel()
 
 
 async def test_a_silent_reader_is_not_waited_for(autojump_clock: object) -> None:
-    fleet = Fleet()
+    pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.run)
+        nursery.start_soon(pair.run)
         await trio.sleep(3.0)
-        fleet.passes_on = False
-        fleet.store.add("rules")
+        pair.is_forwarding = False
+        pair.store.add("rules")
         await trio.sleep(READERS_IDLE_TIMEOUT_SECONDS + 1.5)
-        assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
+        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
         nursery.cancel_scope.cancel()
 
 
 async def test_a_missed_event_is_asked_for(autojump_clock: object) -> None:
-    fleet = Fleet()
+    pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.run)
+        nursery.start_soon(pair.run)
         await trio.sleep(3.0)
-        calls = fleet.store.calls
-        fleet.passes_on = False
-        fleet.store.add("rules")
-        while fleet.reader.by_address[STORE.address].count_tokens("s", PROMPT) == 0:
+        calls = pair.store.calls
+        pair.is_forwarding = False
+        pair.store.add("rules")
+        while pair.reader.by_address[STORE.address].count_tokens("s", PROMPT) == 0:
             await trio.sleep(0.01)
-        fleet.passes_on = True
-        fleet.store.add("shop")
+        pair.is_forwarding = True
+        pair.store.add("shop")
         # At once after the word that shows the gap, not after the readers' silence.
         with trio.fail_after(READERS_IDLE_TIMEOUT_SECONDS / 2):
-            while fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 0:
+            while (
+                pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+            ):
                 await trio.sleep(0.01)
-        assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 2000
-        assert fleet.store.calls > calls
+        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 2000
+        assert pair.store.calls > calls
         nursery.cancel_scope.cancel()
 
 
@@ -156,13 +158,13 @@
     Evidence: looked for after an incident in which one task acted on what it had
     known before another went on; the part counted as held until its next event.
     """
-    answer_made, told = trio.Event(), trio.Event()
+    answer_made, update_taken = trio.Event(), trio.Event()
     first = CacheEvent(1, "s", "rules", True)
 
     async def read(address: str, since: int, wait: float) -> CacheEvents:
         if since == 0:
             answer_made.set()
-            await told.wait()
+            await update_taken.wait()
             return CacheEvents(5, 1, False, (first,))
         await trio.sleep(wait)
         return CacheEvents(5, since, False, ())
@@ -177,7 +179,7 @@
         rows = (Row(name, "s\x1frules", b"", 1), Row(name, "s\x1frules", None, 2))
         assert contents.apply_update(TableUpdate(name, 0, 2, 0.0, rows))
         assert contents.count_tokens("s", PROMPT) == 0
-        told.set()
+        update_taken.set()
         await trio.testing.wait_all_tasks_blocked()
         assert contents.count_tokens("s", PROMPT) == 0
         nursery.cancel_scope.cancel()
@@ -187,37 +189,37 @@
     autojump_clock: object,
 ) -> None:
     """The store's older events are gone: reader and listener both know so."""
-    fleet = Fleet()
+    pair = ReaderAndListener()
     for part in ("rules", "shop"):
-        fleet.store.add(part)
-    fleet.store.forgotten = 1
+        pair.store.add(part)
+    pair.store.first_kept = 1
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.run)
+        nursery.start_soon(pair.run)
         await trio.sleep(3.0)
-        contents = [s.by_address[STORE.address] for s in (fleet.reader, fleet.other)]
+        contents = [s.by_address[STORE.address] for s in (pair.reader, pair.listener)]
         assert [c.is_complete for c in contents] == [False, False]
-        fleet.store.epoch += 1
-        fleet.store.events.clear()
-        fleet.store.forgotten = 0
+        pair.store.epoch += 1
+        pair.store.events.clear()
+        pair.store.first_kept = 0
         await trio.sleep(6.0)
         assert [c.is_complete for c in contents] == [True, True]
         nursery.cancel_scope.cancel()
 
 
 async def test_a_store_that_starts_anew_holds_nothing(autojump_clock: object) -> None:
-    fleet = Fleet()
+    pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.run)
+        nursery.start_soon(pair.run)
         await trio.sleep(1.0)
-        fleet.store.add("rules")
+        pair.store.add("rules")
         await trio.sleep(1.5)
-        assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
-        fleet.store.epoch = 6
-        fleet.store.events.clear()
-        fleet.store.add("shop")
+        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
+        pair.store.epoch = 6
+        pair.store.events.clear()
+        pair.store.add("shop")
         await trio.sleep(4.0)
-        assert fleet.reader.by_address[STORE.address].count_tokens("s", PROMPT) == 0
-        assert fleet.other.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+        assert pair.reader.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
         nursery.cancel_scope.cancel()
 
 
@@ -227,13 +229,13 @@
     stores = [CacheStore(f"10.0.0.{n}:80", "north") for n in range(3)]
     declared = list(stores)
     contents = CacheStores()
-    stand_in = StandIn()
+    fake_store = FakeCacheStore()
     prompts = [make_prompt("rules", f"shop{n}", "own") for n in range(30)]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
             contents.follow,
             lambda: tuple(declared),
-            stand_in.build_port(),
+            fake_store.build_port(),
             DecisionLog("test"),
         )
         await trio.sleep(2.0)
@@ -259,14 +261,14 @@
 ) -> None:
     """A hundred asked again and again: 2,000 calls refused in 10 s, and most of the
     instances took the store for lost."""
-    store = BusyStandIn()
+    store = LimitedCacheStore()
     others = [CacheStores(lambda: False) for _ in range(100)]
 
-    def pass_on(news: TableUpdate) -> None:
+    def forward(update: TableUpdate) -> None:
         for other in others:
-            other.apply_update(news)
+            other.apply_update(update)
 
-    reader = CacheStores(lambda: True, pass_on)
+    reader = CacheStores(lambda: True, forward)
     async with trio.open_nursery() as nursery:
 
         def start(stores: CacheStores) -> None:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -33,7 +33,7 @@
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.rows import OPERATOR_TABLE, SERVERS_TABLE
 from ashpond_platform.store import parse_era
-from tests.followed import Followed, running
+from tests.followed import FollowedTable, running
 from tests.gateway_builders import make_quarantine
 from tests.row_builders import CONFIGURATION, SERVER, FollowedView
 from tests.test_quarantine import end_three_servers
@@ -54,7 +54,7 @@
 ) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with running(followed):
         await trio.sleep(0.1)
         copy = store.take_copy()
@@ -77,16 +77,16 @@
 ) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    reader = Followed(store)
-    others = [Followed(store) for _ in range(193)]
+    reader = FollowedTable(store)
+    others = [FollowedTable(store) for _ in range(193)]
     for other in others:
         other.is_reader = False
 
-    def tell(news: TableUpdate) -> None:
+    def forward(update: TableUpdate) -> None:
         for other in others:
-            other.follower.apply_update(news)
+            other.follower.apply_update(update)
 
-    reader.follower._publish = tell
+    reader.follower._publish = forward
     async with running(reader, *others):
         await trio.sleep(1.0)
         copy = store.take_copy()
@@ -104,7 +104,7 @@
 async def test_who_is_told_nothing_asks_itself(autojump_clock: object) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
     async with running(other):
         await trio.sleep(0.1)
@@ -120,7 +120,7 @@
 ) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with running(followed):
         await trio.sleep(0.1)
         store.answer_seconds = 0.5
@@ -140,7 +140,7 @@
 ) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with running(followed):
         await trio.sleep(0.1)
         restore_and_reach_version(store)
@@ -174,16 +174,16 @@
 
     async def play() -> None:
         store = MemoryStore()
-        reader, other = Followed(store), Followed(store)
+        reader, other = FollowedTable(store), FollowedTable(store)
         other.is_reader = False
         copy = store.take_copy()
 
-        async def carry(news: TableUpdate) -> None:
+        async def carry(update: TableUpdate) -> None:
             await trio.sleep(0.05)
-            other.follower.apply_update(news)
+            other.follower.apply_update(update)
 
         async with trio.open_nursery() as nursery:
-            reader.follower._publish = lambda news: nursery.start_soon(carry, news)
+            reader.follower._publish = lambda update: nursery.start_soon(carry, update)
             nursery.start_soon(reader.run)
             nursery.start_soon(other.run)
             await trio.sleep(0.1)
@@ -568,12 +568,12 @@
     for _ in range(3):
         await contender.order_lease.hold(trio.current_time(), 60.0)
     store.return_from(store.take_copy())
-    begun_at = trio.current_time()
+    started_at = trio.current_time()
     other = Contender("i1", store, ["i1"])
     while not other.lease.holds(trio.current_time()):
         await other.order_lease.hold(trio.current_time(), 60.0)
         await trio.sleep(0.1)
-    assert trio.current_time() - begun_at >= other.lease.terms.silence
+    assert trio.current_time() - started_at >= other.lease.terms.silence
     assert other.lease.fence > contender.lease.fence
     # Rows of earlier eras are removed with the first write.
     keys = {key for table, key in store.rows if table == LEASE_TABLE}
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -15,13 +15,13 @@
 )
 from ashpond.gateway.admission import AGE_SHARE
 from ashpond.standins.tables import MemoryStore
-from tests.followed import IDLE_TIMEOUT_SECONDS, Followed, running
+from tests.followed import IDLE_TIMEOUT_SECONDS, FollowedTable, running
 
 
 async def test_changes_arrive_at_once(autojump_clock: object) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(followed.run)
         await trio.sleep(0.1)
@@ -34,13 +34,13 @@
         await trio.sleep(0.02)
         assert followed.rows == {"a": None}
         nursery.cancel_scope.cancel()
-    assert followed.wholes == 1
+    assert followed.full_reads == 1
 
 
 async def test_lost_history_is_read_anew(autojump_clock: object) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    followed = Followed(store, pause=1.0)
+    followed = FollowedTable(store, pause=1.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(followed.run)
         await trio.sleep(0.5)
@@ -50,12 +50,12 @@
         await trio.sleep(1.0)
         assert followed.rows == {"b": b"2"}
         nursery.cancel_scope.cancel()
-    assert followed.wholes == 2
+    assert followed.full_reads == 2
 
 
 async def test_an_outage_is_told_once_and_ends(autojump_clock: object) -> None:
     store = MemoryStore()
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(followed.run)
         await trio.sleep(0.1)
@@ -89,7 +89,7 @@
     """
     store = MemoryStore()
     store.answer_seconds = answer_seconds
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
     other.follower.feed = other.follower.feed._replace(
         wait=bound * OPERATOR_WAIT_SHARE,
@@ -99,7 +99,7 @@
         nursery.start_soon(other.run)
         await trio.sleep(bound * 10)
         nursery.cancel_scope.cancel()
-    assert 0.0 < other.greatest_age < bound * AGE_SHARE
+    assert 0.0 < other.max_age < bound * AGE_SHARE
 
 
 async def test_the_first_answer_after_an_outage_is_not_waited_for(
@@ -111,7 +111,7 @@
     reader learned 2.3 s after the store was back that nothing had changed meanwhile.
     """
     store = MemoryStore()
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with running(followed):
         await trio.sleep(0.1)
         store.is_down = True
--- a/tests/test_feeds_told.py
+++ b/tests/test_feeds_told.py
@@ -13,12 +13,12 @@
 )
 from ashpond.gateway.store import Row, StoreClock
 from ashpond.standins.tables import MemoryStore
-from tests.followed import IDLE_TIMEOUT_SECONDS, Followed, running
+from tests.followed import IDLE_TIMEOUT_SECONDS, FollowedTable, running
 
 
 async def test_who_is_told_asks_the_store_no_more(autojump_clock: object) -> None:
     store = MemoryStore()
-    reader, other = Followed(store), Followed(store)
+    reader, other = FollowedTable(store), FollowedTable(store)
     other.is_reader = False
     reader.follower._publish = other.follower.apply_update  # type: ignore[assignment]
     async with running(reader, other):
@@ -35,7 +35,7 @@
 
 async def test_silent_readers_are_not_waited_for(autojump_clock: object) -> None:
     store = MemoryStore()
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
     async with running(other):
         await trio.sleep(1.0)
@@ -56,7 +56,7 @@
     """
     store = MemoryStore()
     store.put("t", "a", b"1")
-    reader, other = Followed(store), Followed(store)
+    reader, other = FollowedTable(store), FollowedTable(store)
     other.is_reader = False
     reader.follower._publish = other.follower.apply_update  # type: ignore[assignment]
     async with running(reader, other):
@@ -65,7 +65,7 @@
         store.forget_history()
         store.put("t", "b", b"2")
         await trio.sleep(0.1)
-        assert reader.wholes == 2
+        assert reader.full_reads == 2
         assert other.rows == {"a": b"1", "b": b"2"}
 
 
@@ -79,15 +79,19 @@
     after 0.3 s.
     """
     store = MemoryStore()
-    reader, hub, member = Followed(store), Followed(store), Followed(store)
+    reader, hub, member = (
+        FollowedTable(store),
+        FollowedTable(store),
+        FollowedTable(store),
+    )
     hub.is_reader = member.is_reader = False
-    told: list[TableUpdate] = []
-    reader.follower._publish = told.append
+    forwarded: list[TableUpdate] = []
+    reader.follower._publish = forwarded.append
 
-    def pass_on(news: TableUpdate) -> None:
-        member.follower.apply_update(news)
+    def forward(update: TableUpdate) -> None:
+        member.follower.apply_update(update)
 
-    hub.follower._publish = pass_on
+    hub.follower._publish = forward
     async with running(reader, hub, member):
         await trio.sleep(0.1)
         store.put("t", "a", b"1")
@@ -95,7 +99,7 @@
         store.put("t", "b", b"2")
         await trio.sleep(0.1)
         calls = len(store.calls)
-        assert not hub.follower.apply_update(told[-1])
+        assert not hub.follower.apply_update(forwarded[-1])
         await trio.sleep(0.1)
         assert hub.rows == {"a": b"1", "b": b"2"}
         assert member.rows == hub.rows
@@ -108,8 +112,8 @@
         calls = len(store.calls)
         # What a reader reads anew it tells whole: the hub takes it, passes it on, and
         # neither asks.
-        assert hub.follower.apply_update(told[-1])
-        pass_on(told[-1])
+        assert hub.follower.apply_update(forwarded[-1])
+        forward(forwarded[-1])
         assert hub.rows == {"a": b"1", "b": b"2", "c": b"3"}
         assert member.rows == hub.rows
         await trio.sleep(0.1)
@@ -122,23 +126,23 @@
     """Only what was lost has to be asked for; a first answer tells others nothing."""
     store = MemoryStore()
     store.put("t", "a", b"1")
-    reader = Followed(store)
+    reader = FollowedTable(store)
     async with running(reader):
         await trio.sleep(0.1)
-        assert reader.wholes == 1
+        assert reader.full_reads == 1
         assert reader.published == []
 
 
 async def test_a_missed_change_is_asked_for(autojump_clock: object) -> None:
     store = MemoryStore()
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
     async with running(other):
         await trio.sleep(0.1)
         store.put("t", "a", b"1")
         store.put("t", "b", b"2")
-        news = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
-        assert not other.follower.apply_update(news)
+        update = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
+        assert not other.follower.apply_update(update)
         await trio.sleep(0.1)
         assert other.rows == {"a": b"1", "b": b"2"}
 
@@ -152,16 +156,16 @@
     known before another went on; the change was taken up 3.0 s later, not at once.
     """
     store = MemoryStore()
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
-    answer_made, told = trio.Event(), trio.Event()
+    answer_made, forwarded = trio.Event(), trio.Event()
     follow = store.follow
 
     async def follow_slowly(table: str, after: int, wait: float) -> Any:
         answer = await follow(table, after, wait)
-        if not told.is_set():
+        if not forwarded.is_set():
             answer_made.set()
-            await told.wait()
+            await forwarded.wait()
         return answer
 
     other.follower._store = store.build_port()._replace(follow=follow_slowly)
@@ -169,24 +173,24 @@
         await answer_made.wait()
         store.put("t", "a", b"1")
         store.put("t", "b", b"2")
-        news = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
-        assert not other.follower.apply_update(news)
-        told.set()
+        update = TableUpdate("t", 1, 2, 0.0, (Row("t", "b", b"2", 2),))
+        assert not other.follower.apply_update(update)
+        forwarded.set()
         await trio.sleep(0.1)
         assert other.rows == {"a": b"1", "b": b"2"}
 
 
 async def test_old_news_change_nothing(autojump_clock: object) -> None:
     store = MemoryStore()
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
     store.put("t", "a", b"1")
     store.put("t", "a", b"2")
     async with running(other):
         await trio.sleep(0.1)
         as_of = other.as_of
-        news = TableUpdate("t", 0, 1, 0.0, (Row("t", "a", b"1", 1),))
-        assert not other.follower.apply_update(news)
+        update = TableUpdate("t", 0, 1, 0.0, (Row("t", "a", b"1", 1),))
+        assert not other.follower.apply_update(update)
         assert other.rows == {"a": b"2"}
         assert other.as_of == as_of
 
@@ -196,7 +200,7 @@
 ) -> None:
     """The store's clock has started anew, or the sender's idea of it is wrong."""
     store = MemoryStore()
-    other = Followed(store)
+    other = FollowedTable(store)
     other.is_reader = False
     async with running(other):
         await trio.sleep(0.1)
@@ -212,18 +216,18 @@
     """Each of three did so: 585 calls a minute of 195 instances, where 195 do."""
     store = MemoryStore()
     clock = StoreClock()
-    followed = [Followed(store) for _ in range(3)]
-    reader = Followed(store)
+    followed = [FollowedTable(store) for _ in range(3)]
+    reader = FollowedTable(store)
     for one in followed:
         one.is_reader = False
         one.follower._clock = clock
-        one.follower._publish = lambda news: None
+        one.follower._publish = lambda update: None
 
-    def pass_on(news: TableUpdate) -> None:
+    def forward(update: TableUpdate) -> None:
         for one in followed:
-            one.follower.apply_update(news)
+            one.follower.apply_update(update)
 
-    reader.follower._publish = pass_on
+    reader.follower._publish = forward
     asked: list[float] = []
     follow = followed[0].follower._store.follow
 
--- a/tests/test_key_removed_at_a_return.py
+++ b/tests/test_key_removed_at_a_return.py
@@ -20,7 +20,7 @@
 from tests.endings import HARMLESS_BODY, World, make_configuration
 
 INSTANCES = 3
-VERSIONS = 13
+LOST_VERSIONS = 13
 REVOCATION_SECONDS = 5.0
 
 
@@ -37,7 +37,7 @@
         memory = world.memory
         assert set(await ask_all("k2")) == {200}
         copy = memory.take_copy()
-        for number in range(VERSIONS):
+        for number in range(LOST_VERSIONS):
             memory.put("other", f"lost {number}", b"x")
         # Servers' entries go with them, so that all follow to the newest version.
         for number in range(3):
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -32,7 +32,7 @@
     choose_clock,
 )
 from ashpond.standins.tables import MemoryStore
-from tests.followed import Followed, running
+from tests.followed import FollowedTable, running
 from tests.gateway_builders import make_call, make_declaration, make_server, make_table
 from tests.scripted import Answer, run_call
 from tests.servers import make_answer, read_request, run_server
@@ -163,7 +163,7 @@
 async def test_who_reads_for_others_asks_at_once(autojump_clock: Any) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
-    followed = Followed(store)
+    followed = FollowedTable(store)
     async with running(followed):
         await trio.sleep(0.1)
         before = followed.as_of
