--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -97,7 +97,7 @@
                 )
 
 
-async def test_events_that_a_reader_passes_on_are_known(autojump_clock: object) -> None:
+async def test_forwarded_events_are_applied(autojump_clock: object) -> None:
     pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
@@ -115,7 +115,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_silent_reader_is_not_waited_for(autojump_clock: object) -> None:
+async def test_instance_asks_the_store_after_the_idle_timeout(
+    autojump_clock: object,
+) -> None:
     pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
@@ -127,7 +129,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_missed_event_is_asked_for(autojump_clock: object) -> None:
+async def test_missed_event_is_requested_at_once(autojump_clock: object) -> None:
     pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
@@ -150,7 +152,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_an_answer_does_not_undo_what_was_told_meanwhile(
+async def test_late_answer_does_not_undo_newer_events(
     autojump_clock: object,
 ) -> None:
     """A waiting call's answer is older than what a reader tells while it travels.
@@ -185,7 +187,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_who_starts_late_knows_that_it_does_not_know_all(
+async def test_contents_are_incomplete_when_history_is_gone(
     autojump_clock: object,
 ) -> None:
     """The store's older events are gone: reader and listener both know so."""
@@ -206,7 +208,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_store_that_starts_anew_holds_nothing(autojump_clock: object) -> None:
+async def test_restarted_store_is_empty(autojump_clock: object) -> None:
     pair = ReaderAndListener()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
@@ -223,7 +225,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_the_parts_of_prompts_are_shared_out_over_all_stores(
+async def test_prompt_parts_are_spread_over_all_stores(
     autojump_clock: object,
 ) -> None:
     stores = [CacheStore(f"10.0.0.{n}:80", "north") for n in range(3)]
@@ -256,7 +258,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_great_fleet_does_not_press_a_store_that_takes_few_calls(
+async def test_large_fleet_does_not_overload_a_store(
     autojump_clock: object,
 ) -> None:
     """A hundred asked again and again: 2,000 calls refused in 10 s, and most of the
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -129,25 +129,25 @@
 
 
 @pytest.mark.parametrize("value", DAMAGED_SERVERS.values(), ids=DAMAGED_SERVERS)
-def test_a_damaged_entry_names_no_server(value: bytes) -> None:
+def test_damaged_server_entry_is_rejected(value: bytes) -> None:
     found = decode_server_row(Row("servers", "i-1", value, 5))
     assert isinstance(found, InvalidRow)
     assert found.reason
 
 
 @pytest.mark.parametrize("key", ["", "two words", "line\r\nbreak", "\u20ac", "x" * 300])
-def test_an_id_that_fits_no_header_names_no_server(key: str) -> None:
+def test_id_invalid_in_a_header_is_rejected(key: str) -> None:
     assert isinstance(decode_server_row(make_row(key, SERVER)), InvalidRow)
 
 
 @pytest.mark.parametrize(
     "value", DAMAGED_CONFIGURATIONS.values(), ids=DAMAGED_CONFIGURATIONS
 )
-def test_a_damaged_configuration_is_none(value: bytes) -> None:
+def test_damaged_configuration_is_rejected(value: bytes) -> None:
     assert isinstance(decode_operator_row(Row("op", "config", value, 5)), InvalidRow)
 
 
-def test_fields_that_are_not_known_here_do_no_harm() -> None:
+def test_unknown_fields_are_ignored() -> None:
     entry = SERVER | {"colour": ["blue"], "adapters": 3}
     assert isinstance(decode_server_row(make_row("i-1", entry)), BackendServer)
 
@@ -170,7 +170,7 @@
     decode_member_row(Row("ashpond-members", "i2", value, 1))
 
 
-def test_an_engine_that_has_no_model_yet_is_no_engine_to_use() -> None:
+def test_engine_without_a_model_is_not_used() -> None:
     places = make_places(make_table(make_server("a", weights={})))
     assert places._find(make_demand(make_prompt()), 0.0) is None
     # A server of a plain service has none, whatever a client's headers say.
@@ -179,7 +179,7 @@
     assert places._find(make_demand(make_prompt(), "plain"), 0.0) is not None
 
 
-async def test_good_entries_hold_beside_damaged_ones(autojump_clock: object) -> None:
+async def test_damaged_entries_do_not_affect_valid_ones(autojump_clock: object) -> None:
     followed = FollowedView()
     followed.put_server("good")
     for number, value in enumerate(DAMAGED_SERVERS.values()):
@@ -196,7 +196,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_known_server_whose_entry_turns_bad_gets_nothing_new(
+async def test_server_with_a_damaged_entry_gets_no_new_requests(
     autojump_clock: object,
 ) -> None:
     followed = FollowedView()
@@ -220,7 +220,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_bad_configuration_leaves_the_good_one_in_force(
+async def test_damaged_configuration_leaves_the_previous_one_in_force(
     autojump_clock: object,
 ) -> None:
     followed = FollowedView()
@@ -244,7 +244,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_each_damaged_version_is_told_once(autojump_clock: object) -> None:
+async def test_each_damaged_version_is_logged_once(autojump_clock: object) -> None:
     followed = FollowedView()
     followed.store.put("servers", "a", b"{")
     async with trio.open_nursery() as nursery:
@@ -260,7 +260,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_what_is_remembered_of_damaged_rows_is_bounded() -> None:
+def test_number_of_stored_invalid_rows_is_limited() -> None:
     followed = FollowedView()
     rows = InvalidRows(followed.log)
     for number in range(MAX_ROWS + 50):
@@ -270,7 +270,7 @@
     assert len(rows.list_all()) == MAX_ROWS - 1
 
 
-async def test_a_damaged_row_of_a_member_names_no_instance(
+async def test_damaged_member_row_is_ignored(
     autojump_clock: object,
 ) -> None:
     followed = FollowedView()
@@ -286,9 +286,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"short"])
-async def test_a_damaged_secret_is_replaced(
-    value: bytes, autojump_clock: object
-) -> None:
+async def test_damaged_secret_is_replaced(value: bytes, autojump_clock: object) -> None:
     followed = FollowedView()
     other = FollowedView()
     other.members._store = followed.store.build_port()
@@ -299,7 +297,7 @@
     assert followed.members.secret == other.members.secret
 
 
-async def test_a_damaged_lease_is_taken_over_with_a_higher_fence(
+async def test_damaged_lease_is_taken_over_with_a_higher_fence(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(2)
@@ -316,7 +314,7 @@
     assert min(sent.order.fence for sent in fleet.engines.orders) > 40
 
 
-def test_a_lease_that_cannot_be_read_is_waited_out() -> None:
+def test_unreadable_lease_is_waited_out() -> None:
     lease = Lease("i1")
     lease.on_read(LeaseRow("", 9, 0), 9, 0.0)
     assert lease.plan_write(lease.terms.silence / 2) is None
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -49,7 +49,7 @@
     store.return_from(copy)
 
 
-async def test_who_follows_hears_of_what_comes_after_the_return(
+async def test_follower_sees_changes_after_a_restore(
     autojump_clock: object,
 ) -> None:
     store = MemoryStore()
@@ -72,7 +72,7 @@
         assert followed.rows == {"a": b"2", "b": b"3"}
 
 
-async def test_others_are_told_by_readers_and_do_not_ask(
+async def test_only_readers_ask_the_store_after_a_restore(
     autojump_clock: object,
 ) -> None:
     store = MemoryStore()
@@ -101,7 +101,9 @@
             assert followed.rows == {"a": b"1", "b": b"2"}
 
 
-async def test_who_is_told_nothing_asks_itself(autojump_clock: object) -> None:
+async def test_instance_without_updates_asks_the_store_after_a_restore(
+    autojump_clock: object,
+) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
     other = FollowedTable(store)
@@ -115,7 +117,7 @@
         assert other.rows == {"a": b"2"}
 
 
-async def test_a_read_that_a_return_cuts_short_is_made_again_at_once(
+async def test_read_interrupted_by_a_restore_is_retried_at_once(
     autojump_clock: object,
 ) -> None:
     store = MemoryStore()
@@ -135,7 +137,7 @@
         assert followed.failures <= 1
 
 
-async def test_late_word_of_the_time_before_changes_nothing(
+async def test_update_of_an_earlier_era_is_ignored(
     autojump_clock: object,
 ) -> None:
     store = MemoryStore()
@@ -216,7 +218,7 @@
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_an_answer_is_of_the_era_in_which_its_call_was_answered() -> None:
+def test_era_is_that_of_the_answer_not_of_the_call() -> None:
     era = StoreEra()
     seen: list[int | None] = []
     era.on_change(lambda: seen.append(era.current))
@@ -247,7 +249,7 @@
         (b"seven", None),
     ],
 )
-def test_an_era_that_is_no_number_tells_nothing(value: bytes, era: int | None) -> None:
+def test_invalid_era_header_is_ignored(value: bytes, era: int | None) -> None:
     assert parse_era([(b"other", b"1"), (b"Store-Era", value)]) == era
     assert parse_era([]) is None
 
@@ -260,7 +262,7 @@
     return orjson.dumps({**CONFIGURATION, "version": version, "tenants": tenants})
 
 
-async def test_a_removed_key_stays_removed(
+async def test_removed_key_stays_removed_after_a_restore(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     followed = FollowedView()
@@ -283,7 +285,7 @@
     assert knowledge.declaration.version == 9
 
 
-async def test_a_copy_confirms_nothing_until_it_has_been_written_again(
+async def test_restored_rows_do_not_confirm_knowledge(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     followed = FollowedView()
@@ -305,7 +307,7 @@
     assert knowledge.confirmed_at > confirmed_at + RESTORE_SECONDS
 
 
-async def test_servers_that_have_left_are_not_used_again(
+async def test_removed_servers_are_not_used_after_a_restore(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     followed = FollowedView()
@@ -345,7 +347,7 @@
     return orjson.dumps(table | ({} if name == "i" else {"address": "127.0.0.1:2"}))
 
 
-async def test_who_is_lost_with_the_copy_writes_its_row_again(
+async def test_lost_member_row_is_written_again(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     followed = FollowedView()
@@ -373,7 +375,7 @@
     assert set(members.by_name) == {"i"}
 
 
-async def test_who_has_left_does_not_write_its_row_again(
+async def test_member_that_left_does_not_write_its_row_again(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     followed = FollowedView()
@@ -391,7 +393,7 @@
     assert not [key for table, key in store.rows if table == MEMBERS_TABLE]
 
 
-async def test_the_secret_is_written_again_where_the_copy_lacks_it(
+async def test_lost_secret_is_written_again(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     store = MemoryStore()
@@ -412,7 +414,7 @@
     assert other.secret == members.secret == secret
 
 
-async def test_who_knows_no_secret_yet_writes_none(
+async def test_instance_without_a_secret_writes_none(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     store = MemoryStore()
@@ -428,7 +430,7 @@
     assert store.rows == {}
 
 
-async def test_a_quarantined_request_is_written_again(
+async def test_lost_quarantine_row_is_written_again(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     store = MemoryStore()
@@ -483,7 +485,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_no_fence_is_given_twice_and_holders_stay_apart(
+async def test_fences_rise_and_holders_do_not_overlap(
     seed: int, autojump_clock: object
 ) -> None:
     """Copies, returns, cuts and new instances, in any order."""
@@ -515,7 +517,7 @@
     assert orders[-1][0] > trio.current_time() - 5.0
 
 
-async def test_the_last_holder_goes_on_at_once(autojump_clock: object) -> None:
+async def test_last_holder_renews_the_lease_at_once(autojump_clock: object) -> None:
     store = MemoryStore()
     orders: list[tuple[float, str, int]] = []
     async with trio.open_nursery() as nursery:
@@ -534,7 +536,7 @@
     assert after and {name for _, name, _ in orders} == {after[0][1]}
 
 
-async def test_a_write_that_fits_by_chance_gives_no_lease(
+async def test_write_on_a_reused_version_grants_no_lease(
     autojump_clock: object,
 ) -> None:
     """A holder that has not heard of the return renews on a version given out twice."""
@@ -560,7 +562,7 @@
     assert contender.lease.fence > fence
 
 
-async def test_who_starts_after_a_return_waits_for_the_last_holder(
+async def test_new_instance_waits_for_the_last_holder(
     autojump_clock: object,
 ) -> None:
     store = MemoryStore()
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -37,7 +37,7 @@
     assert followed.full_reads == 1
 
 
-async def test_lost_history_is_read_anew(autojump_clock: object) -> None:
+async def test_table_is_read_again_after_lost_history(autojump_clock: object) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
     followed = FollowedTable(store, pause=1.0)
@@ -53,7 +53,7 @@
     assert followed.full_reads == 2
 
 
-async def test_an_outage_is_told_once_and_ends(autojump_clock: object) -> None:
+async def test_outage_is_logged_once_and_recovered_from(autojump_clock: object) -> None:
     store = MemoryStore()
     followed = FollowedTable(store)
     async with trio.open_nursery() as nursery:
@@ -78,7 +78,7 @@
     ("bound", "answer_seconds"),
     [(2.0, 0.004), (3.0, 0.004), (5.0, 0.004), (5.0, 0.6), (30.0, 0.004)],
 )
-async def test_who_hears_no_reader_keeps_knowing_its_keys(
+async def test_knowledge_stays_fresh_without_readers(
     bound: float, answer_seconds: float, autojump_clock: object
 ) -> None:
     """One that no reader told asked, after its patience, by a call that waits.
@@ -102,7 +102,7 @@
     assert 0.0 < other.max_age < bound * AGE_SHARE
 
 
-async def test_the_first_answer_after_an_outage_is_not_waited_for(
+async def test_first_call_after_an_outage_does_not_wait(
     autojump_clock: object,
 ) -> None:
     """Knowledge that is old already does not grow older while a call waits.
--- a/tests/test_feeds_told.py
+++ b/tests/test_feeds_forwarding.py
@@ -16,7 +16,9 @@
 from tests.followed import IDLE_TIMEOUT_SECONDS, FollowedTable, running
 
 
-async def test_who_is_told_asks_the_store_no_more(autojump_clock: object) -> None:
+async def test_updates_from_a_reader_replace_store_calls(
+    autojump_clock: object,
+) -> None:
     store = MemoryStore()
     reader, other = FollowedTable(store), FollowedTable(store)
     other.is_reader = False
@@ -33,7 +35,9 @@
         assert trio.current_time() - other.as_of < 2.1
 
 
-async def test_silent_readers_are_not_waited_for(autojump_clock: object) -> None:
+async def test_instance_asks_the_store_after_the_idle_timeout(
+    autojump_clock: object,
+) -> None:
     store = MemoryStore()
     other = FollowedTable(store)
     other.is_reader = False
@@ -45,7 +49,7 @@
         assert trio.current_time() - other.as_of < IDLE_TIMEOUT_SECONDS + 0.1
 
 
-async def test_who_relies_on_a_reader_that_reads_anew_learns_the_same(
+async def test_table_reread_by_a_reader_is_forwarded(
     autojump_clock: object,
 ) -> None:
     """A reader whose history was lost told no one what it then read.
@@ -69,7 +73,7 @@
         assert other.rows == {"a": b"1", "b": b"2"}
 
 
-async def test_what_a_hub_has_asked_for_itself_reaches_its_members(
+async def test_changes_requested_by_a_hub_reach_its_group(
     autojump_clock: object,
 ) -> None:
     """A hub that missed a change closed the gap for itself and left its group with it.
@@ -120,7 +124,7 @@
         assert len(store.calls) == calls
 
 
-async def test_a_reader_that_starts_sends_no_one_to_the_store(
+async def test_first_read_of_a_reader_is_not_forwarded(
     autojump_clock: object,
 ) -> None:
     """Only what was lost has to be asked for; a first answer tells others nothing."""
@@ -133,7 +137,7 @@
         assert reader.published == []
 
 
-async def test_a_missed_change_is_asked_for(autojump_clock: object) -> None:
+async def test_missed_change_is_requested_at_once(autojump_clock: object) -> None:
     store = MemoryStore()
     other = FollowedTable(store)
     other.is_reader = False
@@ -147,7 +151,7 @@
         assert other.rows == {"a": b"1", "b": b"2"}
 
 
-async def test_a_gap_that_shows_while_a_call_is_out_is_asked_for(
+async def test_gap_found_during_a_call_is_requested(
     autojump_clock: object,
 ) -> None:
     """An answer made before a change was missed does not count the gap as closed.
@@ -180,7 +184,7 @@
         assert other.rows == {"a": b"1", "b": b"2"}
 
 
-async def test_old_news_change_nothing(autojump_clock: object) -> None:
+async def test_old_update_is_ignored(autojump_clock: object) -> None:
     store = MemoryStore()
     other = FollowedTable(store)
     other.is_reader = False
@@ -195,7 +199,7 @@
         assert other.as_of == as_of
 
 
-async def test_news_from_the_future_of_the_store_are_not_believed(
+async def test_update_from_the_future_is_rejected(
     autojump_clock: object,
 ) -> None:
     """The store's clock has started anew, or the sender's idea of it is wrong."""
@@ -210,7 +214,7 @@
         assert other.as_of == as_of
 
 
-async def test_one_table_is_asked_for_to_set_the_clock_right(
+async def test_clock_is_resynced_by_one_table_only(
     autojump_clock: object,
 ) -> None:
     """Each of three did so: 585 calls a minute of 195 instances, where 195 do."""
--- a/tests/test_key_removed_at_a_return.py
+++ b/tests/test_key_removal_after_restore.py
@@ -24,7 +24,7 @@
 REVOCATION_SECONDS = 5.0
 
 
-async def test_a_removed_key_is_refused_in_time(tmp_path: Path) -> None:
+async def test_key_removed_after_a_restore_is_refused_in_time(tmp_path: Path) -> None:
     world = World(tmp_path, INSTANCES, 3, lambda body: False)
 
     async def ask_all(key: str) -> list[int]:
