--- a/ashpond/decisions/cacheindex.py
+++ b/ashpond/decisions/cacheindex.py
@@ -1,4 +1,4 @@
-"""Which engine has read which shared prompt parts, as far as instances know."""
+"""An index of the shared prompt parts that engines have cached."""
 
 from __future__ import annotations
 
@@ -9,16 +9,20 @@
 from ashpond.bounds import Count
 from ashpond.decisions.prompts import Prompt
 
-# Engines drop the least recently used parts within seconds; a wrong guess costs
-# one fruitless fetch (a ms) and reading the part.
+# Engines evict the least recently used parts within seconds. A stale entry costs one
+# failed fetch (1 ms) and prefilling the part.
 ENTRY_TTL_SECONDS = 4.0
-# A part in steady use is told to the peers again after this (seconds).
+# The entry of a part in steady use is sent to the peers again after this (seconds).
 RESEND_SECONDS = 1.5
 MAX_ENTRIES = 20_000
 
 
 class CacheEntry(NamedTuple):
-    """An engine has read a part under a salt, since its start at ``started_ms``."""
+    """A prompt part that an engine has cached under a salt.
+
+    ``started_ms`` is the time at which the engine started (Unix time in ms), None if it
+    does not report one.
+    """
 
     server_id: str
     salt: str
@@ -27,12 +31,15 @@
 
 
 def make_salt(cache_namespace: str, model: str, version: int | None) -> str:
-    """Return what separates cached parts: by team wall, model and weights."""
+    """Return the salt that separates cached parts by namespace, model and weights."""
     return f"{cache_namespace}/{model}/{version}"
 
 
 class CacheIndex:
-    """A view of the engines' caches, which ages."""
+    """The prompt parts that each engine is assumed to have cached.
+
+    Entries expire after ``ENTRY_TTL_SECONDS`` without use.
+    """
 
     def __init__(self) -> None:
         self._used_at: dict[tuple[str, str], dict[str, float]] = {}
@@ -46,7 +53,7 @@
         now: float,
         started_ms: int | None = None,
     ) -> list[CacheEntry]:
-        """Note that an engine has read a prompt; return what peers should hear."""
+        """Record that an engine has read a prompt; return the entries for peers."""
         to_report = []
         for part in prompt.parts[:-1]:
             entry = CacheEntry(server_id, salt, part.id, started_ms)
@@ -57,7 +64,7 @@
         return to_report
 
     def note_reported(self, entry: CacheEntry, now: float) -> None:
-        """Take what a peer says."""
+        """Record an entry that a peer has sent."""
         self._note(entry, now)
         self._reported_at[entry] = now
 
@@ -68,19 +75,19 @@
     def count_tokens(
         self, server_id: str, salt: str, prompt: Prompt, now: float
     ) -> int:
-        """Return how many of the prompt's first tokens an engine holds."""
+        """Return how many leading tokens of a prompt an engine has cached."""
         return self.count_tokens_by_server(salt, prompt, now).get(server_id, 0)
 
     def count_tokens_by_server(
         self, salt: str, prompt: Prompt, now: float
     ) -> dict[str, int]:
-        """Return how many of the prompt's first tokens each engine holds, if any."""
+        """Return how many leading tokens of a prompt each engine has cached, if any."""
         tokens_by_server: dict[str, int] = {}
         tokens = 0
         for part in prompt.parts[:-1]:
             used_at = self._used_at.get((salt, part.id), {})
             current = [s for s, at in used_at.items() if now - at <= ENTRY_TTL_SECONDS]
-            # A part is of use only after all parts before it.
+            # A cached part is usable only if all parts before it are cached as well.
             continuing = [s for s in current if tokens_by_server.get(s, 0) == tokens]
             if not continuing:
                 break
@@ -89,7 +96,7 @@
         return tokens_by_server
 
     def remove_server(self, server_id: str) -> None:
-        """Drop all that an engine held."""
+        """Remove all entries of an engine."""
         for servers in self._used_at.values():
             servers.pop(server_id, None)
         self._reported_at = {
@@ -99,7 +106,7 @@
         }
 
     def expire(self, now: float) -> None:
-        """Drop what has aged."""
+        """Remove expired entries."""
         limit = now - ENTRY_TTL_SECONDS
         for key in list(self._used_at):
             servers = self._used_at[key]
--- a/ashpond/decisions/caches.py
+++ b/ashpond/decisions/caches.py
@@ -1,8 +1,8 @@
-"""What the router believes to be cached at one engine.
+"""The router's view of the prompt blocks that an engine has cached.
 
-Beliefs come from the prompts that this instance sent, from the engine's cache
-events (late, with gaps) and from the cached-token counts in its answers. All
-of them are keyed by the engine's incarnation: a new one starts with nothing.
+The view is built from the prompts that this instance sent, from the engine's cache
+events (late, with gaps) and from the cached-token counts in its answers. It is valid
+for one incarnation of the engine: a new one starts with an empty cache.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class CacheView:
-    """Blocks believed to be held by one engine, oldest use first.
+    """The blocks assumed to be cached at one engine, least recently used first.
 
-    With a ``sample`` of n, only one block in n (by its hash) is kept. As engines
-    evict the ends of prefixes first, the deepest kept block of a prompt then
-    tells that all before it are held too.
+    With a ``sample`` of n, only one block in n (by its hash) is recorded. Engines evict
+    the ends of prefixes first, so if a block of a prompt is cached, all blocks before
+    it are assumed cached as well.
     """
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY, sample: int = 1):
@@ -34,7 +34,7 @@
         return len(self._blocks)
 
     def adopt_incarnation(self, incarnation: str) -> bool:
-        """Forget everything if the engine is another one than before."""
+        """Clear the view if the incarnation is a new one; return whether it is."""
         if incarnation == self.incarnation:
             return False
         self.incarnation = incarnation
@@ -43,15 +43,16 @@
         return True
 
     def resize(self, capacity: int) -> None:
-        """Keep no more than ``capacity`` blocks."""
+        """Set the capacity in blocks, dropping the least recently used beyond it."""
         self.capacity = max(1, capacity)
         self._trim()
 
     def note_used(self, incarnation: str, blocks: Iterable[int]) -> None:
-        """Record blocks that the engine holds after a prompt that it answered."""
+        """Record the blocks of a prompt that the engine has answered."""
         if incarnation != self.incarnation:
             return
-        # The tail first: engines evict the ends of prefixes before their heads.
+        # The last block is recorded first, and thus dropped first: engines evict the
+        # ends of prefixes before their beginnings.
         for block in reversed(list(blocks)):
             if block % self.sample == 0:
                 self._blocks[block] = None
@@ -80,14 +81,14 @@
         return missed
 
     def note_cached(self, incarnation: str, blocks: Sequence[int], cached: int) -> None:
-        """Correct the view by an answer: only ``cached`` blocks were found."""
+        """Remove all but the ``cached`` leading blocks that an answer found cached."""
         if incarnation != self.incarnation:
             return
         for block in blocks[cached:]:
             self._blocks.pop(block, None)
 
     def match(self, blocks: Sequence[int]) -> int:
-        """Return how many leading blocks of a prompt are believed cached."""
+        """Return how many leading blocks of a prompt are assumed to be cached."""
         if self.sample > 1:
             held = [n for n, block in enumerate(blocks, 1) if block in self._blocks]
             return max(held, default=0)
@@ -99,7 +100,7 @@
         return count
 
     def list_blocks(self, limit: int) -> list[int]:
-        """Return the most recently used blocks, for a restarted peer."""
+        """Return the most recently used blocks, to send to a restarted peer."""
         return list(self._blocks)[-limit:]
 
     def _trim(self) -> None:
--- a/ashpond/decisions/loads.py
+++ b/ashpond/decisions/loads.py
@@ -1,4 +1,4 @@
-"""The work at a backend server, as numbers that add up."""
+"""The load of a backend server, as numbers that can be added."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 from ashpond.bounds import Number
 
-# Loads told by a peer that has been silent for longer no longer count (seconds).
+# Loads reported by a peer are ignored once it has sent nothing for this (seconds).
 PEER_LOAD_SECONDS = 1.5
 
 
 class Load(NamedTuple):
-    """Work at a server: requests, prompt tokens to be read, memory in tokens.
+    """The load of a server in requests, prompt tokens to prefill and memory.
 
-    ``bound`` of the requests cannot go on at another server if they are cut.
+    ``held_tokens`` is the memory that the requests take, in tokens. ``bound`` counts
+    the requests that cannot be resumed at another server if their answer is cut off.
     """
 
     requests: Number = 0
--- a/ashpond/decisions/placement.py
+++ b/ashpond/decisions/placement.py
@@ -1,7 +1,7 @@
 """Choose the engine that can start answering a prompt soonest.
 
-Every term of an engine's score is in seconds: the expected wait behind queued
-work, the prefill of the tokens that it has not cached, and the way to it.
+All terms of an engine's score are in seconds: the expected wait behind queued
+prompts, the prefill of uncached tokens, and the network latency.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 
 class LoadReport(NamedTuple):
-    """What an engine said of itself.
+    """An engine's report of its own load.
 
-    ``observed_at`` is the runtime's clock when the report was made, as well as
-    the router knows; rates are in tokens a second.
+    ``observed_at`` is the estimated time of the report on the runtime's clock;
+    ``prefill_rate`` is in tokens per second.
     """
 
     incarnation: str
@@ -59,11 +59,11 @@
 
 
 class Candidate(NamedTuple):
-    """An engine that may take a prompt, with all that is known of it.
+    """An engine that may take a prompt.
 
-    ``own_tokens`` and ``own_requests`` were sent by this instance since the
-    report was made; ``cached_blocks`` is how much of the prompt it is believed
-    to hold.
+    ``own_tokens`` and ``own_requests`` count what this instance has sent since the
+    report was made; ``cached_blocks`` is the number of leading blocks of the prompt
+    that the engine is assumed to have cached.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
 
 class ChosenEngine(NamedTuple):
-    """The chosen engine, and what was expected of it."""
+    """The chosen engine, its score, and the number of blocks assumed cached there."""
 
     name: str
     expected_seconds: float
@@ -83,7 +83,7 @@
 
 
 def rank_by_rendezvous(key: int, names: Sequence[str]) -> list[str]:
-    """Return ``names`` in the order in which they are home to ``key``."""
+    """Return ``names`` in the rendezvous-hashing order of ``key``, its home first."""
     return sorted(names, key=lambda name: weigh_home(key, name), reverse=True)
 
 
@@ -93,9 +93,10 @@
 
 
 def find_homes(chain: PrefixChain, names: Sequence[str]) -> dict[str, int]:
-    """Return for each home of one of the prompt's levels the blocks it may hold.
+    """Return the number of blocks that each home of a prompt's levels may have cached.
 
-    The last level is the whole prompt, which hardly ever comes twice.
+    The home of a level is its rendezvous-hash home. The last level is the whole prompt,
+    which is rarely repeated, and is skipped if there are others.
     """
     homes: dict[str, int] = {}
     for level in chain.levels[:-1] or chain.levels:
@@ -133,12 +134,12 @@
 ) -> ChosenEngine | None:
     """Return the engine with the least expected time to the first token.
 
-    Without any evidence, the homes of the prompt's levels are presumed to hold
-    them, so that instances that know nothing agree with one another.
+    Where no cached copy is known, the homes of the prompt's levels are presumed to
+    have them cached, so that instances without information choose alike.
 
-    :param presumed_home_share: the share of a level that its home is presumed to hold.
-        It is higher where only a sample of the cache events is seen, as missing
-        evidence then means little.
+    :param presumed_home_share: the share of a level that its home is presumed to have
+        cached. It is higher where only a sample of the cache events is received, as a
+        missing event then means little.
     """
     if not candidates:
         return None
@@ -169,10 +170,10 @@
 
 
 def estimate_delayed_requests(candidates: Sequence[Candidate]) -> float:
-    """Return how many requests wait behind an average prefill.
+    """Return the average number of requests that wait at an engine.
 
-    Tokens computed anew delay those as well, so under load a cached prefix is
-    worth more than the chooser's own time to the first token.
+    Prefilling uncached tokens delays these requests too, so under load a cached prefix
+    saves more than the request's own time to the first token.
     """
     waiting = [
         (candidate.report.waiting if candidate.report else 0) + candidate.own_requests
@@ -196,7 +197,7 @@
     uncached = max(0.0, prompt_tokens - cached_blocks * BLOCK_TOKENS)
     prefill = uncached / rate
     seconds = estimate_prefill_wait(candidate, now) + prefill * (1 + delayed_requests)
-    # A second copy pushes out as many blocks, which others will miss later.
+    # A second copy evicts as many other blocks, which later prompts will miss.
     seconds += EVICTION_COST * wasted_blocks * BLOCK_TOKENS / rate
     if candidate.failure_domain != failure_domain:
         seconds += CROSS_DOMAIN_COST_SECONDS
@@ -211,7 +212,7 @@
         return next(entry for entry in near if entry[2] == deepest)
     if len(near) == 1:
         return near[0]
-    # Instances that hear of the same idle engine at once must not all pick it.
+    # Instances that see the same idle engine at once must not all choose it.
     first, second = rng.sample(near, 2)
     return first if first[1].own_requests <= second[1].own_requests else second
 
@@ -219,7 +220,7 @@
 def choose_least_loaded(
     candidates: Sequence[Candidate], now: float, rng: random.Random
 ) -> Candidate | None:
-    """Return the candidate with the shortest wait, ties broken at random."""
+    """Return the candidate with the shortest wait; ties are broken at random."""
     if not candidates:
         return None
     shuffled = rng.sample(list(candidates), len(candidates))
--- a/ashpond/decisions/prompts.py
+++ b/ashpond/decisions/prompts.py
@@ -1,4 +1,4 @@
-"""What a client says of its prompt."""
+"""The description of a prompt that its client sends."""
 
 from __future__ import annotations
 
@@ -8,14 +8,17 @@
 
 
 class PromptPart(NamedTuple):
-    """A piece of a prompt that other prompts may begin with as well."""
+    """A part of a prompt; other prompts may begin with the same parts."""
 
     id: str
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """What a client says of its prompt; the last part is its own."""
+    """A client's description of its prompt.
+
+    All parts but the last may be shared with other prompts.
+    """
 
     model: str
     tokens: int
--- a/ashpond/decisions/ratelimits.py
+++ b/ashpond/decisions/ratelimits.py
@@ -1,4 +1,4 @@
-"""Which rate limit of a backend server holds, as its answers name it."""
+"""The current rate limit of a backend server, as stated in its answers."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
     AllowanceUnit,
 )
 
-# In any 4 s a server may get one and a half times what its limit allows and 5 requests
-# besides; one is kept back for what reaches it late.
+# In any 4 s, a server may get one and a half times the requests that its limit allows,
+# plus 5. One of the 5 is reserved for requests that reach the server late.
 SERVER_BOUNDS = AllowanceBounds(window=4.0, overage=0.5, slack=4.0)
-# A server whose limit is lower still gets so much (requests a second): only an answer
-# tells that the limit has ended.
+# A server with a lower limit still gets this rate (requests per second), as only an
+# answer shows that the limit has been lifted.
 MIN_RATE = 0.1
-# A permit that has not been used lapses (seconds).
+# An unused permit expires after this (seconds).
 PERMIT_SECONDS = RETURN_SECONDS
-# News from peers may be so old when they arrive (seconds).
+# The greatest age that a peer's notice may have when it arrives (seconds).
 MAX_UPDATE_AGE_SECONDS = 1.0
-# After a refusal the next permit is asked for when there should be one, and after each
-# further refusal in a row half as late again, up to this (seconds).
+# After a refusal, the next permit is requested when one is expected to be available.
+# Each further refusal in a row makes the pause half as long again, within these limits
+# (seconds).
 MIN_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 15.0
 PAUSE_FACTOR = 1.5
@@ -42,10 +43,10 @@
 
 
 class RateLimit(NamedTuple):
-    """The limit that a server is believed to have.
+    """The rate limit of a server, as far as this instance knows.
 
-    :param rate: requests a second from all instances together, None if it has none.
-    :param seen_at: when an answer last said so, on this process's clock (seconds).
+    :param rate: requests per second from all instances together, None if unlimited.
+    :param seen_at: when an answer last confirmed it, on this process's clock (seconds).
     """
 
     rate: float | None = None
@@ -58,13 +59,13 @@
 def update_limit(
     known: RateLimit, rate: float | None, sent_at: float, now: float
 ) -> RateLimit:
-    """Return the limit that holds after an answer.
+    """Return the limit that applies after an answer.
 
     Answers on several connections may be read in another order than the server wrote
-    them. A lower limit holds at once; a higher one, or none, only if its request was
-    sent after the present limit was last seen.
+    them. A lower limit applies at once; a higher one, or none, applies only if the
+    request was sent after the known limit was last seen.
 
-    :param rate: the limit that the answer names, None if it names none.
+    :param rate: the limit in the answer, None if there is none.
     :param sent_at: when the request of the answer was sent.
     """
     if rate == known.rate:
@@ -78,13 +79,13 @@
 def update_limit_from_peer(
     known: RateLimit, rate: float | None, age: float, now: float
 ) -> RateLimit:
-    """Return the limit that holds after a notice of a peer.
+    """Return the limit that applies after a peer's notice.
 
-    A limit is not believed where an answer that names none has been read here since: if
-    it holds, the next answer names it as well.
+    The notice is ignored if this instance has since read an answer without a limit: if
+    the limit still applies, the next answer contains it as well.
 
-    :param age: how long before the notice the request was sent whose answer it
-        tells of (seconds).
+    :param age: the time since the peer sent the request whose answer contained the
+        limit (seconds).
     """
     sent_at = now - age
     if known.rate is None and sent_at < known.seen_at:
@@ -93,19 +94,19 @@
 
 
 def make_allowance(rate: float) -> Allowance:
-    """Return what all instances together may send to a server."""
+    """Return the allowance of requests that all instances share for a server."""
     return Allowance(max(rate, MIN_RATE), unit=AllowanceUnit.SERVER_REQUESTS)
 
 
 def plan_pause(retry_after: float | None, refusals: int, draw: float) -> float:
-    """Return for how long to ask for no permit (seconds).
+    """Return the pause before the next request for a permit (seconds).
 
-    Among hundreds of instances each gets one only now and then; to ask at each request
-    would cost the keeper more than the requests.
+    Among hundreds of instances, each rarely gets a permit. Asking for one with every
+    request would cost the coordinator more work than the requests themselves.
 
-    :param retry_after: when the keeper expects to have one (seconds).
-    :param refusals: how many there have been in a row.
-    :param draw: a random number from 0 to 1, so that not all ask at once.
+    :param retry_after: when the coordinator expects to have a permit (seconds).
+    :param refusals: the number of refusals in a row.
+    :param draw: a random number from 0 to 1, so that instances do not ask all at once.
     """
     pause = max(MIN_PAUSE_SECONDS, retry_after or 0.0)
     pause *= PAUSE_FACTOR ** min(refusals - 1, MAX_PAUSE_STEPS)
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -38,59 +38,61 @@
 from ashpond.decisions.placement import rank_by_rendezvous
 from ashpond.decisions.prompts import Prompt, PromptPart
 
-# Engines read 57 prompt tokens a ms (site sheets), 50 beside running requests
-# (measured: 0.05 s and 20 us a token from sending to the first event).
+# An idle engine prefills 57 prompt tokens per ms, one with running requests 50: the
+# first event of an answer comes 0.05 s and 20 us per token after the request is sent.
 PREFILL_TOKENS_PER_SECOND = 50_000.0
-# Each running request slows every token by 0.1 ms; some 50 tokens an answer.
+# Each running request adds 0.1 ms to every output token; an answer has about 50.
 RUNNING_COST_SECONDS = 0.006
-# A plain server at its slots queues the next request for about one answer.
+# A request that a plain server queues waits for about the duration of one answer.
 SLOT_COST_SECONDS = 0.06
-# Two ways over to another failure domain.
+# A request and its answer each cross the network between two failure domains once.
 DOMAIN_COST_SECONDS = 0.004
-# A prompt and its answer are some 10 to 25 KB, which are paid for between failure
-# domains: at 40 requests a second, 12 MB in 50 s in place of 16 (single runs). And
-# instances that see the same idle engine do not all send there at once. Share of worth
-# in the laboratory, ten seeds in pairs: between 0.00 and 0.04 more.
+# A prompt and its answer are 10 to 25 KB, and traffic between failure domains is
+# charged. At 40 requests a second, this cost reduces it from 16 MB to 12 MB in 50 s. It
+# also keeps instances of different domains from all sending to the same idle engine;
+# the share of the requests' worth that is earned rises by 0.00 to 0.04.
 PROMPT_DOMAIN_COST_SECONDS = 0.04
-# Old weights cost a fifth of the worth of an answer: as much as it being late.
+# An answer from old weights loses a fifth of its worth, as much as a late answer.
 STALE_COST_SECONDS = 0.25
-# Among many servers the few that have the newest weights first would be overrun by
-# all: a request that waits there makes those behind it late as well.
+# Used among many servers. At the full cost, the few servers that load the newest
+# weights first would be overloaded, and requests that queue there delay those behind.
 MANY_STALE_COST_SECONDS = 0.08
-# A failed answer costs about a whole objective.
+# A failed answer costs about as much as the full latency objective.
 FAILURE_COST_SECONDS = 0.6
 COLD_COST_SECONDS = 0.05
-# A fetch takes some ms, and is priced a hundredth of reading the same tokens.
+# Fetching cached tokens takes a few ms, a hundredth of the time to prefill them.
 FETCH_COST_SECONDS = 0.006
-# A token has 18 KB; a store's link carries 25 Gbit/s, an engine's 20 times that.
+# A cached token takes 18 KB; stores have links of 25 Gbit/s, engines 20 times that.
 STORE_SECONDS_PER_TOKEN = 6e-6
 TIE_SECONDS = 0.002
-# Memory that requests may claim; the rest keeps shared parts.
+# Share of an engine's memory for requests; the rest keeps shared parts cached.
 MEMORY_SHARE = 0.8
-# A plain server takes a few more than its slots; a short queue is not a refusal.
+# Plain servers queue some requests beyond their slots, which is better than a refusal.
 QUEUE_SHARE = 1.5
-# Up to so many servers, one home for a part that all prompts share can bear them.
+# With at most this many servers, one server can be the home of a part that all
+# prompts share without being overloaded.
 FEW_SERVERS = 12
-# Prompts are read in pieces of 4,096 tokens, 72 ms each, between the tokens of the
-# answers that run: eight in a row make a pause that counts as late. Among many
-# servers, some are kept for prompts that take less than half a piece (tokens).
+# Engines prefill prompts in chunks of 4,096 tokens, 72 ms each, between the decoding
+# steps of running answers. Eight chunks in a row pause these answers for so long that
+# they count as late. Among many servers, some are therefore reserved for prompts
+# shorter than half a chunk (tokens).
 SHORT_TOKENS = 2_048
 SHORT_SHARE = 0.2
-# A short prompt elsewhere is slowed down; a long one elsewhere slows many down.
+# A short prompt on another server is delayed itself; a long one there delays many.
 SHORT_MISMATCH_SECONDS = 0.06
 LONG_MISMATCH_SECONDS = 0.15
+# The rendezvous key by which all instances agree on the servers for short prompts.
 SHORT_KEY = 3
-# Where others' choices are heard of late, one server looks best to all at once: each
-# request looks at so many servers of each kind, drawn at random.
+# Instances learn of each other's choices late, so one server looks best to all of them.
+# Each request therefore considers this many servers of each kind, drawn at random.
 SAMPLED_SERVERS = 2
 
 
 class Demand(NamedTuple):
-    """What a request needs of a server.
+    """The properties of a request that the choice of a server depends on.
 
-    ``cache_namespace`` separates the cached parts of teams that share nothing.
-    ``is_suspected`` tells that the request may end its server, with all that runs
-    there.
+    ``cache_namespace`` separates the cached prompt parts of teams that share none.
+    ``is_suspected`` is set if the request may crash its server, with all others there.
     """
 
     service: str
@@ -105,12 +107,12 @@
 class Candidate(NamedTuple):
     """A server that may take a request.
 
-    ``cached_tokens`` is how much of the prompt it has read already, and
-    ``fetch_tokens`` how much another engine or a store has that it can fetch from.
-    ``home_rank`` is its place in the order in which servers are home to the
-    first part that none has read; ``memory_tokens`` is 0 for a plain server.
-    ``matches_prompt_size`` tells whether it is kept for prompts of such a length;
-    ``stale_cost`` is what weights count that are not the newest (seconds).
+    ``cached_tokens`` is the number of leading prompt tokens that the server has cached,
+    ``fetch_tokens`` the number that it can fetch from another engine or a cache store.
+    ``home_rank`` is its rank as home of the prompt, see :func:`find_home_ranks`.
+    ``memory_tokens`` is 0 for a plain server. ``matches_prompt_size`` is false for a
+    server that is reserved for prompts of another length. ``stale_cost`` is the cost of
+    weights that are not the newest (seconds).
     """
 
     id: str
@@ -130,14 +132,14 @@
 
 
 class ScoredCandidate(NamedTuple):
-    """A candidate and what :func:`estimate_seconds` says of it."""
+    """A candidate and its score by :func:`estimate_seconds`."""
 
     seconds: float
     candidate: Candidate
 
 
 def find_part_offsets(prompt: Prompt) -> list[int]:
-    """Return the token at which each part of a prompt begins."""
+    """Return the offset in tokens of each part of a prompt."""
     offsets = [0]
     for part in prompt.parts[:-1]:
         offsets.append(offsets[-1] + part.tokens)
@@ -145,7 +147,7 @@
 
 
 def count_shared_tokens(prompt: Prompt) -> int:
-    """Return how many tokens of a prompt other prompts may begin with."""
+    """Return the number of tokens in the parts that other prompts may share."""
     return sum(part.tokens for part in prompt.parts[:-1])
 
 
@@ -159,11 +161,14 @@
 ) -> dict[str, int]:
     """Return each server's rank as home of a prompt.
 
-    Among few servers its home is that of the first shared part not yet read, so that
-    a part is read once. Among many it is that of the last shared part: one home for
-    what all prompts begin with would be overrun.
+    The home of a prompt part is the first server in its rendezvous order. Instances
+    that know of no cached copy all send the part there, so that it is prefilled once.
 
-    :param cached_tokens: how much of the prompt some server has read.
+    Among few servers, a prompt's home is that of its first uncached shared part. Among
+    many, it is that of the last shared part: a single home for the part that all
+    prompts begin with would be overloaded.
+
+    :param cached_tokens: how many leading tokens of the prompt any server has cached.
     :param are_few: whether the service has few servers.
     """
     shared = prompt.parts[:-1]
@@ -181,16 +186,16 @@
 
 
 def sample_servers(kinds: Iterable[Sequence[str]], rng: random.Random) -> set[str]:
-    """Return some servers of each kind, for one request to choose among.
+    """Return a random sample of servers of each kind for one request to choose among.
 
-    It answers many instances that hear of each other's choices half a second late.
-    Whatever looked idlest got the requests of all of them meanwhile: of 45 engines half
-    had nothing to do while others had 70,000 prompt tokens before them.
+    Many instances learn of each other's choices half a second late. Without sampling,
+    all of them send to the server that looks idlest meanwhile: of 45 engines, half were
+    idle while others had 70,000 prompt tokens queued.
 
-    Those that have the newest weights, at first a few, are drawn as often as others:
-    all requests together would make whoever waits there late as well.
+    Servers with the newest weights, at first a few, are drawn no more often than the
+    others: if all requests went there, those that queue would be late.
 
-    :param kinds: the servers, by whether they are kept for requests of such a size.
+    :param kinds: the servers, grouped by the prompt size they are reserved for.
     """
     return {
         name
@@ -200,9 +205,9 @@
 
 
 def select_by_prompt_size(prompt: Prompt, names: Sequence[str]) -> list[str]:
-    """Return the servers that are kept for prompts of such a length.
+    """Return the servers that are reserved for prompts of this prompt's length.
 
-    All instances agree on them without a message.
+    The choice depends on the names only, so instances agree without communicating.
     """
     if len(names) <= FEW_SERVERS:
         return list(names)
@@ -213,19 +218,19 @@
 
 
 def rank_homes(part: str, cache_namespace: str, names: Sequence[str]) -> list[str]:
-    """Return the servers in the order in which they are home to a prompt part."""
+    """Return the servers in the rendezvous order of a prompt part, its home first."""
     return rank_by_rendezvous(hash_part(cache_namespace, part), names)
 
 
 def hash_part(cache_namespace: str, part: str) -> int:
-    """Return the rendezvous key of a prompt part behind a wall."""
+    """Return the rendezvous key of a prompt part in a cache namespace."""
     return xxhash.xxh3_64_intdigest(f"{cache_namespace}/{part}".encode())
 
 
 def make_load(demand: Demand, reusable_tokens: int) -> Load:
-    """Return the work that a request adds to a server.
+    """Return the load that a request adds to a server.
 
-    :param reusable_tokens: how much of the prompt need not be read.
+    :param reusable_tokens: how many prompt tokens are cached or can be fetched.
     """
     bound = 0 if demand.is_resumable else 1
     prompt = demand.prompt
@@ -233,13 +238,13 @@
         return Load(1, bound=bound)
     own_tokens = prompt.tokens - count_shared_tokens(prompt)
     unread = prompt.tokens - reusable_tokens
-    # Shared parts count once for all, so a request claims its own part only.
+    # Shared parts take memory once, so a request claims that of its own part only.
     memory = max(0, own_tokens) + prompt.max_output_tokens
     return Load(1, max(0, unread), memory, bound)
 
 
 def is_full(candidate: Candidate, demand: Demand, claim: int) -> bool:
-    """Return whether one more request would find no place.
+    """Return whether a server has no room for one more request.
 
     :param claim: the memory that the request would claim (tokens).
     """
@@ -256,9 +261,12 @@
 def estimate_seconds(
     candidate: Candidate, demand: Demand, shared: int | None = None
 ) -> float:
-    """Return the seconds until the answer, and what else counts against it.
+    """Return the cost of a candidate in seconds, the best having the least.
+
+    It is the time until the answer begins, plus the costs of old weights, failures and
+    traffic between failure domains.
 
-    :param shared: the prompt's shared tokens, where the caller has counted them.
+    :param shared: the number of the prompt's shared tokens, counted here if None.
     """
     load = candidate.load
     if demand.prompt is None:
@@ -274,7 +282,7 @@
                 missing = candidate.fetch_tokens - candidate.cached_tokens
                 seconds += missing * STORE_SECONDS_PER_TOKEN
         if candidate.home_rank:
-            # Another instance may be having the same parts read at their home.
+            # Another instance may be having the same parts prefilled at their home.
             if shared is None:
                 shared = count_shared_tokens(demand.prompt)
             seconds += max(0, shared - reusable) / PREFILL_TOKENS_PER_SECOND
@@ -294,7 +302,7 @@
 def score_candidates(
     candidates: Sequence[Candidate], demand: Demand
 ) -> list[ScoredCandidate]:
-    """Return the candidates with a free place, the best first."""
+    """Return the candidates that are not full with their scores, the best first."""
     claim = make_load(demand, 0).held_tokens
     shared = count_shared_tokens(demand.prompt) if demand.prompt else 0
     scored = [
@@ -311,7 +319,8 @@
 ) -> Candidate | None:
     """Return the best of scored candidates, None if there is none.
 
-    Among those that are as good as the best, homes go first, then chance decides.
+    Among those within ``TIE_SECONDS`` of the best, the lowest home rank wins, and ties
+    of that are broken at random.
     """
     if not scored:
         return None
@@ -322,10 +331,10 @@
 
 
 def pick_least_loaded(scored: Sequence[ScoredCandidate]) -> Candidate | None:
-    """Return the candidate with the least work in flight, None if there is none.
+    """Return the candidate with the fewest requests in flight, None if there is none.
 
-    For a request that may end its server: with 24 slots, up to 23 others would be lost
-    with it at the server that answers soonest.
+    Used for a request that may crash its server: with 24 slots, up to 23 others could
+    be lost with it on the server that answers soonest.
     """
     if not scored:
         return None
@@ -336,14 +345,14 @@
 def choose_server(
     candidates: Sequence[Candidate], demand: Demand, rng: random.Random
 ) -> Candidate | None:
-    """Return the best candidate with a free place, None if there is none."""
+    """Return the best candidate that is not full, None if there is none."""
     return choose_scored(score_candidates(candidates, demand), demand, rng)
 
 
 def choose_scored(
     scored: Sequence[ScoredCandidate], demand: Demand, rng: random.Random
 ) -> Candidate | None:
-    """Return the candidate for a request, None if there is none."""
+    """Return the scored candidate to send a request to, None if there is none."""
     return (
         pick_least_loaded(scored)
         if demand.is_suspected
@@ -352,20 +361,20 @@
 
 
 def describe_candidate(candidate: Candidate) -> list[Any]:
-    """Return a candidate as a log line holds it; :func:`read_candidate` undoes it."""
+    """Return a candidate as a list for a log line, see :func:`parse_candidate`."""
     load = list(candidate.load)
     share = round(candidate.failure_share, 3)
     return list(candidate._replace(load=load, failure_share=share))  # type: ignore
 
 
 def parse_candidate(fields: list[Any]) -> Candidate:
-    """Return the candidate that a log line holds."""
+    """Return the candidate that :func:`describe_candidate` wrote to a log line."""
     candidate = Candidate(*fields)
     return candidate._replace(load=Load(*candidate.load))
 
 
 def describe_demand(demand: Demand) -> list[Any]:
-    """Return what the choice of a server reads of a request, for a log line."""
+    """Return the properties that the choice of a server depends on, for a log line."""
     prompt = demand.prompt
     sizes = [part.tokens for part in prompt.parts] if prompt else []
     tokens = [prompt.tokens, prompt.max_output_tokens, sizes] if prompt else None
