--- a/ashpond/decisions/budget.py
+++ b/ashpond/decisions/budget.py
@@ -1,4 +1,4 @@
-"""The fleet's budget of repeated sends to a service, as one instance sees it."""
+"""The retry budget that all instances share for a service."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 from ashpond.bounds import Number
 
-# What peers sent since they last told is not known yet, and windows slide apart.
+# The share of the budget to use: retries since the peers' last reports are not known
+# yet, and the windows of instances do not coincide.
 SAFETY_FACTOR = 0.75
-# Of its part of the slack, what an instance may use just after its start.
+# The share of its part of the slack that an instance may use just after its start.
 INITIAL_SHARE = 0.2
 
 
 class AttemptCounts(NamedTuple):
-    """First and repeated sends within one window."""
+    """The numbers of first attempts and of retries within one window."""
 
     first: Number = 0
     retries: Number = 0
@@ -32,19 +33,19 @@
 
 
 class FleetRetryBudget:
-    """Repeated sends to one service by all instances, in a sliding window.
+    """Limits the retries of all instances at one service in a sliding window.
 
-    Peers tell their counts; those of one that has gone count for a window more. An
-    instance that has just started does not know what its earlier life sent, so its
-    own part of the slack grows over its first window.
+    Peers report their counts; those of a peer that has gone count for one more window.
+    An instance that has just started does not know how many retries its previous
+    incarnation sent, so its part of the slack grows over its first window.
 
-    :param share: repeats that are allowed, as a share of the requests.
-    :param slack: repeats of the whole fleet besides.
-    :param window: in seconds.
+    :param share: the allowed retries as a share of the first attempts.
+    :param slack: the additional retries allowed to all instances together.
+    :param window: the length of the window (seconds).
     :param started_at: when this instance started.
 
-    ``lag`` is how long news of the peers' sends may be on the way (seconds): within
-    it, each instance keeps to an even part of what is left.
+    ``lag`` is the greatest delay of the peers' reports (seconds): within it, each
+    instance uses only an even part of the retries left.
     """
 
     def __init__(
@@ -60,15 +61,15 @@
         self._peers: dict[str, tuple[float, AttemptCounts]] = {}
 
     def note_first_attempt(self, now: float) -> None:
-        """Count a request."""
+        """Count the first attempt of a request."""
         self._first.append(now)
 
     def note_peer(self, peer: str, counts: AttemptCounts, now: float) -> None:
-        """Take the counts of one life of a peer."""
+        """Record the counts of one incarnation of a peer."""
         self._peers[peer] = (now, counts)
 
     def keep_peers(self, peers: Container[str]) -> None:
-        """Forget all counts but those of ``peers``, which include what others told."""
+        """Remove all counts but those of ``peers``, own or forwarded by other peers."""
         self._peers = {p: reported for p, reported in self._peers.items() if p in peers}
 
     def count_own(self, now: float) -> AttemptCounts:
@@ -79,23 +80,23 @@
         return AttemptCounts(len(self._first), len(self._retries))
 
     def take(self, instances: int, now: float) -> bool:
-        """Use up one repeat; return whether there was one left."""
+        """Use one retry of the budget; return whether one was left."""
         if self.measure_left(instances, now) < 1:
             return False
         self._retries.append(now)
         return True
 
     def measure_fleet_left(self, now: float) -> float:
-        """Return how many repeats all instances together may still send."""
+        """Return how many retries all instances together may still send."""
         fleet = self._count_fleet(self.count_own(now), now)
         return self._allow(fleet.first, self.slack) - fleet.retries
 
     def measure_left(self, instances: int, now: float) -> float:
-        """Return how many repeats this instance may still send."""
+        """Return how many retries this instance may still send."""
         own = self.count_own(now)
         fleet_left = self.measure_fleet_left(now)
         if self.lag:
-            # All may spend at once what each believes to be left.
+            # Until reports arrive, all instances may use the same remainder at once.
             recent = sum(1 for at in self._retries if now - at <= self.lag)
             fleet_left = min(fleet_left, (fleet_left + recent) / instances - recent)
         age = max(0.0, now - self._started_at)
--- a/ashpond/decisions/eventstream.py
+++ b/ashpond/decisions/eventstream.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events and know the last one's id."""
+"""Split a stream of server-sent events into complete events and track their ids."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class EventSplitter:
-    """Takes pieces as they arrive, gives back whole events."""
+    """Buffers received data and returns complete events.
+
+    ``last_id`` is the id of the last complete event, or the one to resume after.
+    """
 
     def __init__(self, last_id: str | None = None):
         self.last_id = last_id
@@ -29,12 +32,12 @@
         return whole
 
     def take_remainder(self) -> bytes:
-        """Return what follows the last whole event, at the stream's proper end."""
+        """Return the data after the last complete event, once the stream has ended."""
         remainder, self._buffer = self._buffer, b""
         return remainder
 
     def drop_remainder(self) -> None:
-        """Forget an event that broke off; a continuation brings it whole."""
+        """Discard an incomplete event; the resumed stream contains it in full."""
         self._buffer = b""
 
     def _note_ids(self, events: bytes) -> None:
--- a/ashpond/decisions/fingerprints.py
+++ b/ashpond/decisions/fingerprints.py
@@ -1,4 +1,4 @@
-"""Name a request by what it asks, without keeping what it asks."""
+"""Identify requests by a keyed digest of their content."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 import hashlib
 
-# 96 bits: among a million requests two have the same name by chance once in 10^16.
+# With 96 bits, the probability that two of a million requests collide is about 1 in
+# 10^16.
 FINGERPRINT_BYTES = 12
-# A field's length goes before it, so that no two sets of fields have the same bytes.
+# The length of each field precedes it, so that different fields never hash alike.
 LENGTH_BYTES = 8
 MAX_KEY_BYTES = 64
 
@@ -18,12 +19,12 @@
 ) -> str:
     """Return the keyed digest of a request, in hexadecimal.
 
-    The same request has the same digest at each instance and each time it comes,
-    whatever its id; that of another team has another. Without the secret nobody can
-    try whether a digest is that of a certain body.
+    A request has the same digest at all instances and on each retry, whatever its id;
+    the same request of another team has another digest. Without the secret, a digest
+    cannot be tested against a guessed body.
 
-    :param secret: what all instances share.
-    :param team: None where a request needs no key, which differs from all names.
+    :param secret: the secret that all instances share.
+    :param team: None if the request needs no key; this differs from every team's name.
     """
     key = secret.encode()[:MAX_KEY_BYTES]
     digest = hashlib.blake2b(key=key, digest_size=FINGERPRINT_BYTES)
--- a/ashpond/decisions/quarantine.py
+++ b/ashpond/decisions/quarantine.py
@@ -1,12 +1,14 @@
-"""Which requests end the servers that run them, by the ends that instances have seen.
-
-A request is named by its fingerprint, an end by the start of the server that ended. A
-set of such pairs unites what instances tell each other without counting an end twice,
-whoever has seen it and however often it is told; a counter would not. A server that
-ends takes all its requests with it: one that has been answered whole since is not the
-cause, one that is sent anew, ends the next server and is never answered is. Where
-several were there at the same ends, the one that was there at most of them explains
-them; what an explained end says of the others counts no more.
+"""Find the requests that crash servers, from the crashes that instances have seen.
+
+A request is identified by its fingerprint, a crash by the server and its start.
+Instances exchange sets of such pairs: unlike a counter, a set counts a crash once
+however many instances report it, and however often.
+
+All requests at a server are lost when it crashes. One that a server has since answered
+in full is not the cause; one that crashes the next server at each retry and is never
+answered is. If several requests were in flight at the same crashes, these are
+attributed to the request that was there at most of them, and no longer count against
+the others.
 """
 
 from __future__ import annotations
@@ -30,38 +32,40 @@
 from ashpond.bounds import Amount, Count
 from ashpond.decisions.fingerprints import FINGERPRINT_BYTES
 
-# A request and its repeat may lose two servers by chance.
+# A request and its retry may both lose their servers by chance.
 QUARANTINE_CRASHES = 3
-# So may one that takes long where servers end often: with one of five lost each second,
-# a request of six seconds loses its server two times in three. One is quarantined only
-# if chance would have done as much, in the time that it was in flight, less often.
+# Where servers crash often, a long request may lose more of them by chance: if one in
+# five crashes each second, a request of 6 s loses its server two times in three. A
+# request is quarantined only if the probability of as many crashes by chance, in the
+# time that it was in flight, is below this.
 CHANCE_LIMIT = 0.002
-# As many where another request was there at as many of the ends, so that one of the two
-# may have lost its servers to the other. Until then one instance alone sends each of
-# them, one at a time, which mostly tells them apart.
+# The crashes required if another request was in flight at as many of them, so that
+# either may be the cause. Until then, a single instance sends each of the requests, one
+# attempt at a time, which usually shows the cause.
 CONTESTED_CRASHES = 5
-# So long after the last of them nothing is sent and nothing is refused for good: news
-# of an answer, or of another request that explains the ends, may be on the way. Between
-# groups they take up to 1.2 s (seconds).
+# For this long after its last crash, a request is neither sent nor refused permanently:
+# a report of an answer, or of another request that is the cause, may be under way.
+# Between groups of instances, reports take up to 1.2 s (seconds).
 SETTLING_SECONDS = 1.5
-# Clocks of instances are set by the store's and differ by a few ms, and a connection
-# that was idle when its server ended may be used a little later (seconds).
+# The clocks of instances follow the store's and differ by a few ms. A connection that
+# was idle when its server crashed may be used slightly later (seconds).
 CLOCK_ERROR_SECONDS = 0.03
-# An end that is told as of later than this is of a clock that has been set anew.
+# A crash dated further in the future is from a clock that has been reset (seconds).
 MAX_FUTURE_SECONDS = 5.0
-# What is in flight all the time, as a request that many clients send, is in flight at
-# every end. It has been answered a moment ago (seconds).
+# A request that many clients send is in flight all the time, and so at every crash. If
+# it has been answered within this time, it is not the cause (seconds).
 ANSWERED_SECONDS = 10.0
 MAX_ANSWERED = 2_048
-# Requests that are remembered: 12 servers of 64 slots that end at once lose 768. And
-# ends of each, some 300 bytes: one that comes 20 times a second has ended 30 before all
-# instances know, and explains as many losses of others.
+# The most requests to keep: 12 servers of 64 slots that crash at once lose 768.
 MAX_REQUESTS = 1_024
+# The most crashes to keep of each request, about 300 bytes each. A request that is sent
+# 20 times a second crashes 30 servers before all instances know of it; each of these
+# crashes clears the other requests that were lost with it.
 MAX_CRASHES = 64
-# Of what is believed, only time changes anything without news; it is looked at anew so
-# often (seconds).
+# Without new reports, an assessment changes with time only. It is repeated after this
+# (seconds).
 ASSESSMENT_TTL_SECONDS = 0.25
-# What is told to an instance that has just connected (ends); some 70 bytes each.
+# The most crashes sent to an instance that has just connected, about 70 bytes each.
 MAX_SENT_CRASHES = 256
 
 _Start = tuple[str, int | None]
@@ -72,11 +76,12 @@
 
 
 class ServerCrash(NamedTuple):
-    """The end of a server's start with a request in flight.
+    """A crash of a server with a request in flight.
 
+    ``started_ms`` is when the server had started (Unix time in ms), None if unknown.
     ``sent_at`` is when the request was sent there and ``crashed_at`` when it was lost,
-    on the steady clock that all instances share, the store's (seconds). ``is_cleared``
-    tells that the request is not the cause; that is never taken back.
+    on the store's steady clock, which all instances share (seconds). ``is_cleared`` is
+    set if the request is not the cause; it is never reset.
     """
 
     fingerprint: Fingerprint
@@ -88,10 +93,10 @@
 
 
 class QuarantineState(StrEnum):
-    """What is believed of a request.
+    """Whether a request is known or suspected to crash servers.
 
-    One that is held is neither sent nor refused for good until its case has settled; a
-    contested one may have lost its servers to another request.
+    A held request is neither sent nor refused permanently until ``SETTLING_SECONDS``
+    have passed. A contested one may have lost its servers to another request.
     """
 
     FREE = "free"
@@ -102,9 +107,9 @@
 
 
 class _Assessment(NamedTuple):
-    """Those to quarantine, and those that may be, by the time of their last end.
+    """The requests to quarantine or contested, with the times of their last crashes.
 
-    ``explained`` are the ends that the former explain.
+    ``attributed`` holds the starts whose crashes the quarantined requests caused.
     """
 
     quarantined: dict[str, float]
@@ -113,15 +118,15 @@
 
 
 class CrashRecords:
-    """The ends that are known, by request, for a limited time.
+    """The known crashes by request, kept for a limited time.
 
-    Times are those of the clock that all instances share.
+    Times are those of the store's clock, which all instances share.
 
-    :param keep_seconds: how long an end counts. A request whose oldest end is forgotten
-        may be tried once more, and wrong suspicion passes.
-    :param measure_hazard: returns how often a server has ended of late, whatever the
-        reason (ends per server and second).
-    :param clock_error: how far the times of two instances may be apart (seconds).
+    :param keep_seconds: how long a crash counts. A request whose oldest crash has
+        expired may be tried once more, so that a wrong suspicion ends.
+    :param measure_hazard: returns the recent rate of crashes for any reason (crashes
+        per server and second).
+    :param clock_error: the greatest difference between two instances' clocks (seconds).
     """
 
     def __init__(
@@ -139,7 +144,7 @@
         self._assessed_at = float("-inf")
 
     def classify(self, fingerprint: str | None, now: float) -> QuarantineState:
-        """Return what is believed of a request."""
+        """Return the quarantine state of a request."""
         if fingerprint not in self._crashes:
             return QuarantineState.FREE
         assessed = self._assess(now)
@@ -157,11 +162,15 @@
         return QuarantineState.SUSPECTED if is_suspected else QuarantineState.FREE
 
     def count_successive(self, fingerprint: str | None, now: float) -> int:
-        """Return how many servers a request has ended one after the other."""
+        """Return how many servers have crashed under a request one after the other."""
         return len(self._list_successive(self.list_crashes(fingerprint, now)))
 
     def _assess(self, now: float) -> _Assessment:
-        """Return which requests have ended enough servers, the gravest case first."""
+        """Return the requests with enough crashes to be quarantined or contested.
+
+        Requests with the most successive crashes are assessed first, and crashes
+        attributed to them do not count against the others.
+        """
         is_fresh = now - self._assessed_at <= ASSESSMENT_TTL_SECONDS
         if self._assessed is not None and is_fresh:
             return self._assessed
@@ -190,11 +199,11 @@
         return assessed
 
     def _list_successive(self, crashes: Sequence[ServerCrash]) -> list[ServerCrash]:
-        """Return as many ends as there are that came one after the other.
+        """Return the crashes whose request was sent after the crash before.
 
-        What ends many servers at once, as a loss of power, takes with it what is in
-        flight at several of them. Only a request that was sent after the one end, and
-        was there again at the next, counts again.
+        An event such as a power failure stops many servers at once, and with them a
+        request that was in flight at several. A further crash counts only if the
+        request was sent after the one before.
         """
         chain: list[ServerCrash] = []
         last = float("-inf")
@@ -210,7 +219,7 @@
         cases: Mapping[str, Sequence[ServerCrash]],
         attributed: set[_Start],
     ) -> list[int]:
-        """Return how many servers those have ended that were at the same ends."""
+        """Return the successive crashes of each other request at the same crashes."""
         own = set(map(_get_start, cases[name]))
         rivals = []
         for other, crashes in cases.items():
@@ -220,13 +229,13 @@
         return rivals
 
     def list_servers(self, fingerprint: str | None, now: float) -> list[str]:
-        """Return the servers that have ended under a request, one entry a start."""
+        """Return the servers that crashed under a request, one entry for each start."""
         return [crash.server_id for crash in self.list_crashes(fingerprint, now)]
 
     def list_crashes(self, fingerprint: str | None, now: float) -> list[ServerCrash]:
-        """Return the ends that count against a request.
+        """Return the crashes that count against a request.
 
-        Who does not know when a server started tells of the same end as who does.
+        A report without the server's start is taken for the same crash as one with it.
         """
         crashes = self._crashes.get(fingerprint or "", {})
         dated = {
@@ -247,7 +256,7 @@
         return age >= self.keep_seconds or age < -MAX_FUTURE_SECONDS
 
     def note(self, reported: ServerCrash, now: float) -> bool:
-        """Take an end, seen or told; return whether there is something new in it."""
+        """Record a crash seen here or by a peer; return whether it changes anything."""
         if self._is_expired(reported, now):
             return False
         crashes = self._crashes.get(reported.fingerprint)
@@ -268,7 +277,7 @@
         return crashes[key] != known
 
     def note_answered(self, fingerprint: str, now: float) -> list[ServerCrash]:
-        """Note that a server has answered a request whole; return what that clears."""
+        """Record a complete answer to a request; return the crashes that it clears."""
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = now
         if len(self._answered) > MAX_ANSWERED:
@@ -276,12 +285,12 @@
         return self.clear(fingerprint, now)
 
     def was_answered(self, fingerprint: str, now: float) -> bool:
-        """Return whether a request was answered whole a moment ago."""
+        """Return whether a request was answered completely in ``ANSWERED_SECONDS``."""
         at = self._answered.get(fingerprint, float("-inf"))
         return now - at <= ANSWERED_SECONDS
 
     def clear(self, fingerprint: str, now: float) -> list[ServerCrash]:
-        """Acquit a request of the ends that are known; return them as cleared."""
+        """Clear a request of all its known crashes; return them."""
         crashes = self._crashes.get(fingerprint, {})
         active = [key for key, crash in crashes.items() if not crash.is_cleared]
         for key in active:
@@ -290,29 +299,30 @@
         return [crashes[key] for key in active]
 
     def list_most_suspect(self, now: float) -> list[ServerCrash]:
-        """Return what an instance should be told that knows nothing.
+        """Return the crashes to send to an instance that has just connected.
 
-        Of those that are most suspect first, and no more than a message takes.
+        The requests with the most crashes come first; the rest that does not fit into
+        a message is left out.
         """
         crashes = [self.list_crashes(name, now) for name in self._crashes]
         crashes.sort(key=len, reverse=True)
         return [crash for group in crashes for crash in group][:MAX_SENT_CRASHES]
 
     def export(self, limit: int) -> list[ServerCrash]:
-        """Return ends to tell, cleared ones too, those of the gravest cases first."""
+        """Return the crashes of the requests with the most, including cleared ones."""
         groups = sorted((list(e.values()) for e in self._crashes.values()), key=len)
         return [crash for group in reversed(groups) for crash in group][:limit]
 
     def list_fingerprints(self) -> set[str]:
-        """Return the requests of which any end is known."""
+        """Return the fingerprints of the requests with any known crash."""
         return set(self._crashes)
 
     def list_by_state(self, state: QuarantineState, now: float) -> list[str]:
-        """Return the requests of which this is believed."""
+        """Return the fingerprints of the requests in a state."""
         return [name for name in self._crashes if self.classify(name, now) is state]
 
     def expire(self, now: float) -> None:
-        """Drop the ends that no longer count."""
+        """Remove the crashes that no longer count."""
         for crashes in self._crashes.values():
             for key, crash in list(crashes.items()):
                 if self._is_expired(crash, now):
@@ -323,17 +333,17 @@
         self._assessed = None
 
     def _evict_request(self, now: float) -> None:
-        """Drop a request with the fewest ends if there are too many, the oldest first.
+        """Remove the oldest request with the fewest crashes if there are too many.
 
-        A caller with another body each time can so push out what has ended fewer
-        servers than its own, never what was quarantined before it.
+        A client that sends another body each time can thus only evict requests with
+        fewer crashes than its own, never those quarantined before.
         """
         if len(self._crashes) < MAX_REQUESTS:
             return
         self.expire(now)
         if len(self._crashes) < MAX_REQUESTS:
             return
-        # Mostly one of those that have lost a server once: no need to count all.
+        # Usually some request has a single crash, and the others need not be counted.
         single = next(
             (name for name, crashes in self._crashes.items() if len(crashes) == 1), ""
         )
@@ -344,7 +354,7 @@
         self._assessed = None
 
     def _evict_crash(self, crashes: dict[_Start, ServerCrash], now: float) -> bool:
-        """Drop an end that adds nothing to the count; return whether there was one."""
+        """Remove a crash that does not count; return whether there was one."""
         last = float("-inf")
         for key, crash in sorted(crashes.items(), key=lambda item: item[1].crashed_at):
             if (
@@ -358,7 +368,7 @@
 
 
 def _merge(one: ServerCrash, other: ServerCrash) -> ServerCrash:
-    """Return what two instances know of one end, the same in whichever order."""
+    """Return the union of two reports of one crash, independent of their order."""
     return one._replace(
         sent_at=min(one.sent_at, other.sent_at),
         crashed_at=min(one.crashed_at, other.crashed_at),
@@ -377,9 +387,11 @@
 
 
 def _is_likely_chance(chain: Sequence[ServerCrash], hazard: float) -> bool:
-    """Return whether servers end so often that the chain may have been hit by chance.
+    """Return whether a chain of crashes is likely to have occurred by chance.
+
+    Crashes are modelled as a Poisson process during the time the request was in flight.
 
-    :param hazard: ends per server and second.
+    :param hazard: crashes per server and second.
     """
     in_flight = sum(max(0.0, crash.crashed_at - crash.sent_at) for crash in chain)
     expected = hazard * in_flight
--- a/ashpond/decisions/retries.py
+++ b/ashpond/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether a failed attempt is repeated, and after which pause."""
+"""Decide whether a failed attempt is retried, and after which pause."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 
 class RetryAfter(NamedTuple):
-    """Try again, at another server if there is one, after ``pause`` seconds."""
+    """Retry after ``pause`` seconds, at another server if there is one."""
 
     pause: float
 
 
 class GiveUp(NamedTuple):
-    """Answer the caller now."""
+    """Stop retrying and answer the client."""
 
     reason: str
 
 
 class RetryBudget:
-    """Allows retries up to a share of fresh requests, and a small burst."""
+    """Allows retries up to a share of the first attempts, plus a small burst."""
 
     def __init__(self, share: float):
         self.share = share
         self._tokens = BUDGET_BURST
 
     def note_first_attempt(self) -> None:
-        """Count one fresh request."""
+        """Count the first attempt of a request."""
         self._tokens = min(BUDGET_BURST, self._tokens + self.share)
 
     def take(self) -> bool:
-        """Use up one retry; return whether there was one left."""
+        """Use one retry of the budget; return whether one was left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -56,9 +56,9 @@
     budget: RetryBudget,
     rng: random.Random,
 ) -> RetryAfter | GiveUp:
-    """Decide about an attempt that ended without an answer.
+    """Decide whether to retry an attempt that ended without an answer.
 
-    An attempt that may have run is repeated only if the request may be.
+    An attempt that may have run is retried only if the request is ``repeatable``.
     """
     if isinstance(outcome, MaybeRun) and not repeatable:
         return GiveUp("the request may have run and may not be repeated")
--- a/ashpond/decisions/rollout.py
+++ b/ashpond/decisions/rollout.py
@@ -13,7 +13,7 @@
 
 
 class EngineWeights(NamedTuple):
-    """One engine as observed. ``loading`` is empty or the version on its way."""
+    """The observed weights of an engine; ``loading`` is a version or empty."""
 
     name: str
     weights: str
@@ -22,11 +22,11 @@
 
 
 def plan_rollout(engines: Sequence[EngineWeights], declared: str) -> list[str]:
-    """Return the engines to order to load ``declared``, fewest loads first.
+    """Return the engines that should load the version ``declared`` now.
 
-    At most :data:`MAX_LOADS_AT_ONCE` engines load at once, and the share of
-    engines that serve never falls below :data:`CAPACITY_FLOOR`, except where a
-    fleet is so small that no engine could ever load.
+    At most :data:`MAX_LOADS_AT_ONCE` engines load at once, and the share of serving
+    engines does not fall below :data:`CAPACITY_FLOOR`, unless there are so few engines
+    that none could ever load.
     """
     loading = [engine for engine in engines if engine.loading]
     serving = [e for e in engines if e.reachable and not e.loading]
--- a/ashpond/decisions/streams.py
+++ b/ashpond/decisions/streams.py
@@ -1,4 +1,4 @@
-"""Keep a stream complete and in order over cuts and repeats."""
+"""Keep a stream complete and in order across interruptions and retries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EventAction(Enum):
-    """What to do with an event of an upstream answer."""
+    """The action to take on an event of an engine's answer."""
 
     FORWARD = "forward"
     DUPLICATE = "duplicate"
@@ -19,13 +19,13 @@
 
 
 class EventSequence:
-    """The number of the last event that was passed on, starting from 0."""
+    """Checks event numbers; ``last`` is that of the last event forwarded, 0 if none."""
 
     def __init__(self, after: int = 0):
         self.last = after
 
     def check(self, number: int) -> EventAction:
-        """Judge an event by its number; a forwarded one becomes the last."""
+        """Return the action for an event; one to be forwarded becomes the last."""
         if number <= self.last:
             return EventAction.DUPLICATE
         if number > self.last + 1:
@@ -35,7 +35,7 @@
 
 
 class Continue(NamedTuple):
-    """Go on after event ``after``, on the same engine or on another one."""
+    """Resume after event ``after`` at the same engine or at another one."""
 
     same_engine: bool
     after: int
@@ -55,9 +55,13 @@
     repeatable: bool,
     exact_resume: bool,
 ) -> Continue | Fail:
-    """Decide how a stream that was cut goes on.
+    """Decide how an interrupted stream continues.
 
-    :param engine_lost: the engine cannot be reached, or no longer has it.
+    :param last: the number of the last event forwarded.
+    :param resumes: how often the stream has been resumed already.
+    :param engine_lost: whether the engine is unreachable or no longer has the stream.
+    :param repeatable: whether the request may run again.
+    :param exact_resume: whether another engine continues with exactly the same events.
     """
     if resumes >= MAX_RESUMES:
         return Fail("the stream was cut too often")
