--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -50,7 +50,7 @@
     from ashpond.gateway.decisionlog import DecisionLog
     from ashpond.news.members import Members
 
-LIFE_BYTES = 4
+INCARNATION_BYTES = 4
 MAX_FRAME_BYTES = 1 << 20
 # How often links and headcount follow the members' table, and full accounts go.
 ADJUST_SECONDS = 0.5
@@ -95,7 +95,7 @@
         has_server_limits: Callable[[], bool] = lambda: False,
     ):
         now = trio.current_time()
-        self._life = f"{members.own.name}#{secrets.token_hex(LIFE_BYTES)}"
+        self._incarnation = f"{members.own.name}#{secrets.token_hex(INCARNATION_BYTES)}"
         self._members = members
         self._log = log
         self._get_declaration = get_declaration
@@ -108,7 +108,7 @@
         # Until when there are limits besides those of teams.
         self._needed_until = now
         # An earlier life of this instance earned what was before; no one else does.
-        self._earns_since = now
+        self._accrues_since = now
         self._headcount = Headcount(now)
         self._ledgers: dict[tuple[int, int], Ledger] = {}
         self._links: list[CoordinatorLink] = []
@@ -232,10 +232,10 @@
         now = trio.current_time()
         requests, returned = decode_ask(message)
         ledger = self._get_ledger(message.slots, message.slot)
-        earned = decode_earned(message)
+        accrued = decode_earned(message)
         name = message.sender.rpartition("#")[0]
-        if earned is not None and self._headcount.counts(name, now):
-            ledger.receive(earned, self._headcount.measure_share(now), now)
+        if accrued is not None and self._headcount.counts(name, now):
+            ledger.receive(accrued, self._headcount.measure_share(now), now)
         self._take_back(ledger, returned, now)
         verdicts = [self._decide(ledger, request, now) for request in requests]
         if verdicts or message.wants_time:
@@ -248,13 +248,15 @@
         """Decide as the keeper that this instance takes itself for."""
         now = trio.current_time()
         ledger = self._get_ledger(slots, slot)
-        self._earn_here(ledger, link, now)
+        self._accrue_locally(ledger, link, now)
         return self._decide(ledger, request, now)
 
-    def _earn_here(self, ledger: Ledger, link: CoordinatorLink, now: float) -> None:
-        earned = link.earnings.take(now)
-        if earned is not None:
-            ledger.receive(earned, self._headcount.measure_share(now), now)
+    def _accrue_locally(
+        self, ledger: Ledger, link: CoordinatorLink, now: float
+    ) -> None:
+        accrued = link.accrued_time.take(now)
+        if accrued is not None:
+            ledger.receive(accrued, self._headcount.measure_share(now), now)
 
     def _decide(
         self, ledger: Ledger, request: AllowanceRequest, now: float
@@ -344,20 +346,20 @@
         for link in self._links:
             link.scope.cancel()
         self._links = [self._make_link(wanted, slot) for slot in range(wanted)]
-        self._earns_since = now
+        self._accrues_since = now
         for link in self._links:
             self._nursery.start_soon(link.run)
 
     def _make_link(self, slots: int, slot: int) -> CoordinatorLink:
         return CoordinatorLink(
-            self._life,
+            self._incarnation,
             slots,
             slot,
             self._members,
             self._log,
             self.decide_locally,
             self._connect,
-            self._earns_since,
+            self._accrues_since,
         )
 
     async def _connect_by_address(self, member: Member) -> PeerStream:
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -89,19 +89,19 @@
 
     def __init__(
         self,
-        life: str,
+        incarnation: str,
         slots: int,
         slot: int,
         members: Members,
         log: DecisionLog,
         decide_locally: DecideLocally,
         connect: Connect,
-        earns_since: float,
+        accrues_since: float,
     ):
         self.scope = trio.CancelScope()
-        self.earnings = Earnings(earns_since)
+        self.accrued_time = Earnings(accrues_since)
         self.coordinator = ""
-        self._life = life
+        self._incarnation = incarnation
         self._slots = slots
         self.slot = slot
         self._members = members
@@ -192,7 +192,7 @@
             with trio.fail_after(CONNECT_SECONDS):
                 stream = await self._connect_to(member)
                 hello = encode_ask(
-                    self._life, self._slots, self.slot, None, wants_time=True
+                    self._incarnation, self._slots, self.slot, None, wants_time=True
                 )
                 await stream.send(hello)
                 answer = await stream.receive()
@@ -269,7 +269,7 @@
         until = trio.current_time() + WARM_SECONDS
         try:
             while trio.current_time() < until:
-                await self._send(line, self._take_earned(line))
+                await self._send(line, self._take_accrued(line))
                 await trio.sleep(HAND_OVER_SECONDS)
             return True
         except PEER_ERRORS as error:
@@ -283,18 +283,18 @@
     async def _send_asks(self, line: _Line) -> None:
         if self._fills_first:
             self._fills_first = False
-            await self._send(line, self._take_earned(line))
+            await self._send(line, self._take_accrued(line))
             await trio.sleep(FILL_SECONDS)
         while True:
             unsent = [w.request for w in self._waiters.values() if not w.is_sent]
             for waiter in self._waiters.values():
                 waiter.is_sent = True
             returned, self._returned = self._returned, []
-            earned = None if self._is_warming else self._take_earned(line)
+            accrued = None if self._is_warming else self._take_accrued(line)
             if unsent and self._silence.deadline == float("inf"):
                 self._silence.deadline = trio.current_time() + SILENCE_SECONDS
-            if unsent or returned or earned is not None:
-                await self._send(line, earned, unsent, returned)
+            if unsent or returned or accrued is not None:
+                await self._send(line, accrued, unsent, returned)
             with trio.move_on_after(HAND_OVER_SECONDS):
                 await self._signal.wait()
             self._signal = trio.Event()
@@ -302,20 +302,20 @@
     async def _send(
         self,
         line: _Line,
-        earned: TimeSpan | None,
+        accrued: TimeSpan | None,
         requests: Sequence[AllowanceRequest] = (),
         returned: Sequence[ReturnedAllowance] = (),
     ) -> None:
         message = encode_ask(
-            self._life, self._slots, self.slot, earned, requests, returned
+            self._incarnation, self._slots, self.slot, accrued, requests, returned
         )
         with trio.fail_after(SILENCE_SECONDS):
             await line.stream.send(message)
 
-    def _take_earned(self, line: _Line) -> TimeSpan | None:
+    def _take_accrued(self, line: _Line) -> TimeSpan | None:
         """Return what has been earned since, on a keeper's clock."""
-        earned = self.earnings.take(trio.current_time())
-        return None if earned is None else line.convert(earned)
+        accrued = self.accrued_time.take(trio.current_time())
+        return None if accrued is None else line.convert(accrued)
 
     async def _take_answers(self, line: _Line) -> None:
         while True:
