--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -212,7 +212,7 @@
         link = self._links[find_slot(taken.team, len(self._links))]
         returned = ReturnedAllowance(taken.team, taken.unit, taken.cost)
         if link.is_own_coordinator:
-            ledger = self._get_ledger(len(self._links), link.slot)
+            ledger = self._get_ledger(len(self._links), link.hash_slot)
             self._take_back(ledger, [returned], trio.current_time())
         else:
             link.give_back(returned)
@@ -243,11 +243,15 @@
                 await stream.send(encode_answer(now, verdicts))
 
     def decide_locally(
-        self, slots: int, slot: int, link: CoordinatorLink, request: AllowanceRequest
+        self,
+        hash_slots: int,
+        hash_slot: int,
+        link: CoordinatorLink,
+        request: AllowanceRequest,
     ) -> AllowanceVerdict:
         """Decide as the keeper that this instance takes itself for."""
         now = trio.current_time()
-        ledger = self._get_ledger(slots, slot)
+        ledger = self._get_ledger(hash_slots, hash_slot)
         self._accrue_locally(ledger, link, now)
         return self._decide(ledger, request, now)
 
@@ -328,8 +332,8 @@
             return plan_pace(allowance, SERVER_BOUNDS)
         return plan_pace(allowance, self._get_bounds())
 
-    def _get_ledger(self, slots: int, slot: int) -> Ledger:
-        return self._ledgers.setdefault((slots, slot), Ledger())
+    def _get_ledger(self, hash_slots: int, hash_slot: int) -> Ledger:
+        return self._ledgers.setdefault((hash_slots, hash_slot), Ledger())
 
     def _adjust(self) -> None:
         """Link to the keepers that the present members call for."""
@@ -345,16 +349,18 @@
             return
         for link in self._links:
             link.scope.cancel()
-        self._links = [self._make_link(wanted, slot) for slot in range(wanted)]
+        self._links = [
+            self._make_link(wanted, hash_slot) for hash_slot in range(wanted)
+        ]
         self._accrues_since = now
         for link in self._links:
             self._nursery.start_soon(link.run)
 
-    def _make_link(self, slots: int, slot: int) -> CoordinatorLink:
+    def _make_link(self, hash_slots: int, hash_slot: int) -> CoordinatorLink:
         return CoordinatorLink(
             self._incarnation,
-            slots,
-            slot,
+            hash_slots,
+            hash_slot,
             self._members,
             self._log,
             self.decide_locally,
@@ -381,11 +387,11 @@
             "keepers": [link.coordinator for link in self._links],
             "share_earned": round(self._headcount.measure_share(now), 5),
             "kept_here": {
-                f"{slot}/{slots}": {
+                f"{hash_slot}/{hash_slots}": {
                     "share": round(ledger.measure_share(now), 3),
                     "accounts": ledger.accounts,
                 }
-                for (slots, slot), ledger in self._ledgers.items()
+                for (hash_slots, hash_slot), ledger in self._ledgers.items()
             },
             "teams": {
                 name: {"limit": self._describe_limit(name), **use._asdict()}
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -90,8 +90,8 @@
     def __init__(
         self,
         incarnation: str,
-        slots: int,
-        slot: int,
+        hash_slots: int,
+        hash_slot: int,
         members: Members,
         log: DecisionLog,
         decide_locally: DecideLocally,
@@ -102,8 +102,8 @@
         self.accrued_time = Earnings(accrues_since)
         self.coordinator = ""
         self._incarnation = incarnation
-        self._slots = slots
-        self.slot = slot
+        self._hash_slots = hash_slots
+        self.hash_slot = hash_slot
         self._members = members
         self._log = log
         self._decide_locally = decide_locally
@@ -132,7 +132,7 @@
     async def ask(self, request: AllowanceRequest) -> AllowanceVerdict | None:
         """Return the keeper's verdict, None if there was none in time."""
         if self.is_own_coordinator:
-            return self._decide_locally(self._slots, self.slot, self, request)
+            return self._decide_locally(self._hash_slots, self.hash_slot, self, request)
         waiter = self._waiters[request.number] = _Waiter(request)
         self._signal.set()
         try:
@@ -161,7 +161,7 @@
 
     def _set_coordinator(self, coordinator: str) -> None:
         if coordinator != self.coordinator:
-            self._log.note("allowance_keeper", keeper=coordinator, slot=self.slot)
+            self._log.note("allowance_keeper", keeper=coordinator, slot=self.hash_slot)
         self.coordinator = coordinator
 
     def _list_candidates(self) -> list[Member]:
@@ -171,7 +171,7 @@
         now = trio.current_time()
         return [
             member
-            for member in list_keepers(self.slot, members)
+            for member in list_keepers(self.hash_slot, members)
             if self._avoided.get(member.name, 0.0) <= now
         ]
 
@@ -192,7 +192,11 @@
             with trio.fail_after(CONNECT_SECONDS):
                 stream = await self._connect_to(member)
                 hello = encode_ask(
-                    self._incarnation, self._slots, self.slot, None, wants_time=True
+                    self._incarnation,
+                    self._hash_slots,
+                    self.hash_slot,
+                    None,
+                    wants_time=True,
                 )
                 await stream.send(hello)
                 answer = await stream.receive()
@@ -219,7 +223,7 @@
         for waiter in list(self._waiters.values()):
             if waiter.verdict is None:
                 waiter.verdict = self._decide_locally(
-                    self._slots, self.slot, self, waiter.request
+                    self._hash_slots, self.hash_slot, self, waiter.request
                 )
                 waiter.event.set()
 
@@ -307,7 +311,12 @@
         returned: Sequence[ReturnedAllowance] = (),
     ) -> None:
         message = encode_ask(
-            self._incarnation, self._slots, self.slot, accrued, requests, returned
+            self._incarnation,
+            self._hash_slots,
+            self.hash_slot,
+            accrued,
+            requests,
+            returned,
         )
         with trio.fail_after(SILENCE_SECONDS):
             await line.stream.send(message)
