--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -26,7 +26,11 @@
     refuse_exhausted,
     refuse_unanswered,
 )
-from ashpond.controllers.coordinatorlink import ASK_SECONDS, Connect, CoordinatorLink
+from ashpond.controllers.coordinatorlink import (
+    ANSWER_TIMEOUT_SECONDS,
+    Connect,
+    CoordinatorLink,
+)
 from ashpond.decisions.allowances import (
     RETURN_SECONDS,
     Allowance,
@@ -239,7 +243,7 @@
         self._take_back(ledger, returned, now)
         verdicts = [self._decide(ledger, request, now) for request in requests]
         if verdicts or message.wants_time:
-            with trio.fail_after(ASK_SECONDS):
+            with trio.fail_after(ANSWER_TIMEOUT_SECONDS):
                 await stream.send(encode_answer(now, verdicts))
 
     def decide_locally(
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ASK_SECONDS", "Connect", "CoordinatorLink"]
+__all__ = ["ANSWER_TIMEOUT_SECONDS", "Connect", "CoordinatorLink"]
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import TYPE_CHECKING
@@ -27,9 +27,9 @@
     from ashpond.news.members import Members
 
 # A request waits so long for a keeper's answer; an answer takes a few ms (seconds).
-ASK_SECONDS = 0.5
+ANSWER_TIMEOUT_SECONDS = 0.5
 # After so long without one, the next keeper is asked (seconds).
-SILENCE_SECONDS = 0.2
+IDLE_TIMEOUT_SECONDS = 0.2
 CONNECT_SECONDS = 0.3
 # A keeper that was not reached is passed over for so long (seconds).
 AVOID_SECONDS = 2.0
@@ -38,7 +38,7 @@
 FILL_SECONDS = 0.15
 # Before a better keeper is asked, it gets the time for so long, and saves it up, while
 # the one before it still answers from what it has saved (seconds).
-WARM_SECONDS = 1.0
+WARMUP_SECONDS = 1.0
 # Earned time that no request carries is handed over so often (seconds).
 HAND_OVER_SECONDS = 0.25
 
@@ -56,24 +56,26 @@
         self.event = trio.Event()
 
 
-class _Line:
+class _Connection:
     """A connection to a keeper, whose clock is ``ahead`` of this process's.
 
     What a keeper says of its clock was true when it said so, and is less than true when
     it arrives: what it is handed never looks younger than it is.
     """
 
-    def __init__(self, stream: PeerStream, ahead: float):
+    def __init__(self, stream: PeerStream, clock_offset: float):
         self.stream = stream
-        self.ahead = ahead
+        self.clock_offset = clock_offset
 
-    def note_clock(self, coordinator_now: float) -> None:
+    def update_clock_offset(self, coordinator_now: float) -> None:
         """Take what the keeper's clock showed when it answered."""
-        self.ahead = max(self.ahead, coordinator_now - trio.current_time())
+        self.clock_offset = max(
+            self.clock_offset, coordinator_now - trio.current_time()
+        )
 
-    def convert(self, span: TimeSpan) -> TimeSpan:
+    def to_coordinator_clock(self, span: TimeSpan) -> TimeSpan:
         """Return a span of this process's clock on the keeper's."""
-        return TimeSpan(span.begin + self.ahead, span.end + self.ahead)
+        return TimeSpan(span.begin + self.clock_offset, span.end + self.clock_offset)
 
 
 class CoordinatorLink:
@@ -108,21 +110,21 @@
         self._log = log
         self._decide_locally = decide_locally
         self._connect_to = connect
-        self._own = members.own.name
+        self._own_name = members.own.name
         self._waiters: dict[int, _Waiter] = {}
         self._returned: list[ReturnedAllowance] = []
         self._avoided: dict[str, float] = {}
         self._number = 0
-        self._signal = trio.Event()
-        self._silence = trio.CancelScope()
+        self._wake = trio.Event()
+        self._idle_scope = trio.CancelScope()
         # Whether the keeper has just begun to be asked, and has nothing saved.
-        self._fills_first = True
-        self._is_warming = False
+        self._must_fill = True
+        self._is_warming_up = False
 
     @property
     def is_own_coordinator(self) -> bool:
         """Whether this instance is its own keeper at present."""
-        return self.coordinator == self._own
+        return self.coordinator == self._own_name
 
     def next_number(self) -> int:
         """Return a number for a request that no other on this link has."""
@@ -134,9 +136,9 @@
         if self.is_own_coordinator:
             return self._decide_locally(self._hash_slots, self.hash_slot, self, request)
         waiter = self._waiters[request.number] = _Waiter(request)
-        self._signal.set()
+        self._wake.set()
         try:
-            with trio.move_on_after(min(ASK_SECONDS, request.patience)):
+            with trio.move_on_after(min(ANSWER_TIMEOUT_SECONDS, request.patience)):
                 await waiter.event.wait()
         finally:
             del self._waiters[request.number]
@@ -145,19 +147,19 @@
     def give_back(self, returned: ReturnedAllowance) -> None:
         """Have the keeper told of what has not been used."""
         self._returned.append(returned)
-        self._signal.set()
+        self._wake.set()
 
     async def run(self) -> None:
         """Stay connected to the best keeper there is, until cancelled."""
         with self.scope:
             while True:
-                coordinator, line = await self._find_coordinator()
+                coordinator, connection = await self._find_coordinator()
                 self._set_coordinator(coordinator)
-                if line is None:
-                    self._decide_waiting()
+                if connection is None:
+                    self._decide_pending()
                     await trio.sleep(AVOID_SECONDS)
                 else:
-                    await self._converse(coordinator, line)
+                    await self._run_connection(coordinator, connection)
 
     def _set_coordinator(self, coordinator: str) -> None:
         if coordinator != self.coordinator:
@@ -175,35 +177,35 @@
             if self._avoided.get(member.name, 0.0) <= now
         ]
 
-    async def _find_coordinator(self) -> tuple[str, _Line | None]:
+    async def _find_coordinator(self) -> tuple[str, _Connection | None]:
         """Return the best keeper that can be reached; itself without a connection."""
         for member in self._list_candidates():
-            if member.name == self._own:
+            if member.name == self._own_name:
                 break
-            line = await self._connect(member)
-            if line is not None:
-                return member.name, line
-        return self._own, None
+            connection = await self._connect(member)
+            if connection is not None:
+                return member.name, connection
+        return self._own_name, None
 
-    async def _connect(self, member: Member) -> _Line | None:
+    async def _connect(self, member: Member) -> _Connection | None:
         """Connect to a keeper and learn its clock; None if it is away."""
         stream = None
         try:
             with trio.fail_after(CONNECT_SECONDS):
                 stream = await self._connect_to(member)
-                hello = encode_ask(
+                request = encode_ask(
                     self._incarnation,
                     self._hash_slots,
                     self.hash_slot,
                     None,
                     wants_time=True,
                 )
-                await stream.send(hello)
+                await stream.send(request)
                 answer = await stream.receive()
                 if not isinstance(answer, AllowanceAnswer):
                     raise FrameError("a keeper that does not answer")
                 decode_answer(answer)
-                return _Line(stream, answer.now - trio.current_time())
+                return _Connection(stream, answer.now - trio.current_time())
         except PEER_ERRORS as error:
             self._avoid(member.name, repr(error))
         except BaseException:
@@ -218,7 +220,7 @@
         self._avoided[name] = trio.current_time() + AVOID_SECONDS
         self._log.note("allowance_keeper_lost", keeper=name, reason=reason)
 
-    def _decide_waiting(self) -> None:
+    def _decide_pending(self) -> None:
         """Decide here what waited for a keeper."""
         for waiter in list(self._waiters.values()):
             if waiter.verdict is None:
@@ -227,7 +229,7 @@
                 )
                 waiter.event.set()
 
-    async def _converse(self, coordinator: str, line: _Line) -> None:
+    async def _run_connection(self, coordinator: str, connection: _Connection) -> None:
         """Ask a keeper until it is lost, or a better one is there."""
         for waiter in self._waiters.values():
             waiter.is_sent = False
@@ -237,75 +239,77 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    self._watch_better, coordinator, nursery.cancel_scope
+                    self._watch_for_preferred, coordinator, nursery.cancel_scope
                 )
-                nursery.start_soon(self._send_asks, line)
-                with trio.CancelScope() as self._silence:
-                    await self._take_answers(line)
-                if self._silence.cancelled_caught:
+                nursery.start_soon(self._send_requests, connection)
+                with trio.CancelScope() as self._idle_scope:
+                    await self._receive_answers(connection)
+                if self._idle_scope.cancelled_caught:
                     raise trio.TooSlowError
             return
         except* PEER_ERRORS as errors:
             reason = repr(errors.exceptions[0])
         finally:
             with trio.CancelScope(shield=True):
-                await line.stream.aclose()
+                await connection.stream.aclose()
         self._avoid(coordinator, reason)
-        self._fills_first = True
+        self._must_fill = True
 
-    async def _watch_better(self, coordinator: str, scope: trio.CancelScope) -> None:
+    async def _watch_for_preferred(
+        self, coordinator: str, scope: trio.CancelScope
+    ) -> None:
         """End a conversation once a candidate that goes before its keeper is back."""
         while True:
             await trio.sleep(AVOID_SECONDS)
             for member in self._list_candidates():
                 if member.name == coordinator:
                     break
-                if member.name == self._own or await self._warm(member):
+                if member.name == self._own_name or await self._warm_up(member):
                     scope.cancel()
                     return
 
-    async def _warm(self, member: Member) -> bool:
+    async def _warm_up(self, member: Member) -> bool:
         """Hand time to a better keeper; return whether it is there to be asked."""
-        line = await self._connect(member)
-        if line is None:
+        connection = await self._connect(member)
+        if connection is None:
             return False
-        self._is_warming = True
-        until = trio.current_time() + WARM_SECONDS
+        self._is_warming_up = True
+        until = trio.current_time() + WARMUP_SECONDS
         try:
             while trio.current_time() < until:
-                await self._send(line, self._take_accrued(line))
+                await self._send(connection, self._take_accrued(connection))
                 await trio.sleep(HAND_OVER_SECONDS)
             return True
         except PEER_ERRORS as error:
             self._avoid(member.name, repr(error))
             return False
         finally:
-            self._is_warming = False
+            self._is_warming_up = False
             with trio.CancelScope(shield=True):
-                await line.stream.aclose()
+                await connection.stream.aclose()
 
-    async def _send_asks(self, line: _Line) -> None:
-        if self._fills_first:
-            self._fills_first = False
-            await self._send(line, self._take_accrued(line))
+    async def _send_requests(self, connection: _Connection) -> None:
+        if self._must_fill:
+            self._must_fill = False
+            await self._send(connection, self._take_accrued(connection))
             await trio.sleep(FILL_SECONDS)
         while True:
             unsent = [w.request for w in self._waiters.values() if not w.is_sent]
             for waiter in self._waiters.values():
                 waiter.is_sent = True
             returned, self._returned = self._returned, []
-            accrued = None if self._is_warming else self._take_accrued(line)
-            if unsent and self._silence.deadline == float("inf"):
-                self._silence.deadline = trio.current_time() + SILENCE_SECONDS
+            accrued = None if self._is_warming_up else self._take_accrued(connection)
+            if unsent and self._idle_scope.deadline == float("inf"):
+                self._idle_scope.deadline = trio.current_time() + IDLE_TIMEOUT_SECONDS
             if unsent or returned or accrued is not None:
-                await self._send(line, accrued, unsent, returned)
+                await self._send(connection, accrued, unsent, returned)
             with trio.move_on_after(HAND_OVER_SECONDS):
-                await self._signal.wait()
-            self._signal = trio.Event()
+                await self._wake.wait()
+            self._wake = trio.Event()
 
     async def _send(
         self,
-        line: _Line,
+        connection: _Connection,
         accrued: TimeSpan | None,
         requests: Sequence[AllowanceRequest] = (),
         returned: Sequence[ReturnedAllowance] = (),
@@ -318,31 +322,31 @@
             requests,
             returned,
         )
-        with trio.fail_after(SILENCE_SECONDS):
-            await line.stream.send(message)
+        with trio.fail_after(IDLE_TIMEOUT_SECONDS):
+            await connection.stream.send(message)
 
-    def _take_accrued(self, line: _Line) -> TimeSpan | None:
+    def _take_accrued(self, connection: _Connection) -> TimeSpan | None:
         """Return what has been earned since, on a keeper's clock."""
         accrued = self.accrued_time.take(trio.current_time())
-        return None if accrued is None else line.convert(accrued)
+        return None if accrued is None else connection.to_coordinator_clock(accrued)
 
-    async def _take_answers(self, line: _Line) -> None:
+    async def _receive_answers(self, connection: _Connection) -> None:
         while True:
-            message = await line.stream.receive()
+            message = await connection.stream.receive()
             if not isinstance(message, AllowanceAnswer):
                 continue
             verdicts = decode_answer(message)
-            line.note_clock(message.now)
+            connection.update_clock_offset(message.now)
             for verdict in verdicts:
                 waiter = self._waiters.get(verdict.number)
                 if waiter is not None:
                     waiter.verdict = verdict
                     waiter.event.set()
-            self._silence.deadline = self._find_silence()
+            self._idle_scope.deadline = self._find_idle_deadline()
 
-    def _find_silence(self) -> float:
+    def _find_idle_deadline(self) -> float:
         """Return when the keeper is taken for lost if it does not answer."""
         waiters = self._waiters.values()
         if any(waiter.is_sent and waiter.verdict is None for waiter in waiters):
-            return trio.current_time() + SILENCE_SECONDS
+            return trio.current_time() + IDLE_TIMEOUT_SECONDS
         return float("inf")
