--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -59,8 +59,8 @@
 # How often links and headcount follow the members' table, and full accounts go.
 ADJUST_SECONDS = 0.5
 # The same until the configuration is known: a keeper's share is of those that link.
-START_SECONDS = 0.05
-_NOTHING: tuple[int, Allowance | None] = (0, None)
+UNCONFIGURED_ADJUST_SECONDS = 0.05
+_NO_LIMIT: tuple[int, Allowance | None] = (0, None)
 # After the last limit of a server has ended, links stay for so long.
 LINGER_SECONDS = 30.0
 # Of the teams that have been asked for, so many are told to operators.
@@ -110,16 +110,16 @@
         self._find_server_rate = find_server_rate
         self._has_server_limits = has_server_limits
         # Until when there are limits besides those of teams.
-        self._needed_until = now
+        self._links_needed_until = now
         # An earlier life of this instance earned what was before; no one else does.
         self._accrues_since = now
         self._headcount = Headcount(now)
         self._ledgers: dict[tuple[int, int], Ledger] = {}
         self._links: list[CoordinatorLink] = []
-        self._known: Declaration | None = None
+        self._last_declaration: Declaration | None = None
         self._limits: dict[str, Allowance] = {}
         # Limits of configurations that askers know and this instance does not yet.
-        self._heard: dict[str, tuple[int, Allowance]] = {}
+        self._received_limits: dict[str, tuple[int, Allowance]] = {}
         self._uses: dict[str, _Use] = {}
         self._nursery: trio.Nursery | None = None
 
@@ -129,8 +129,10 @@
             self._nursery = nursery
             while True:
                 self._adjust()
-                is_informed = self._get_declaration() is not None
-                await trio.sleep(ADJUST_SECONDS if is_informed else START_SECONDS)
+                is_configured = self._get_declaration() is not None
+                await trio.sleep(
+                    ADJUST_SECONDS if is_configured else UNCONFIGURED_ADJUST_SECONDS
+                )
 
     async def take(
         self, team: Team | None, tokens: int | None, urgency: int, deadline: float
@@ -145,11 +147,13 @@
         now = trio.current_time()
         allowance = team.allowance
         cost = measure_cost(allowance, tokens)
-        patience = max(0.0, deadline - now)
+        timeout = max(0.0, deadline - now)
         link = self._find_link(team.name)
         if link is None:
             return refuse_unanswered("this instance is starting")
-        verdict = await self._ask(link, team.name, allowance, cost, urgency, patience)
+        verdict = await self._request(
+            link, team.name, allowance, cost, urgency, timeout
+        )
         if verdict is None:
             return refuse_unanswered("the keeper of the allowance does not answer")
         self._count_use(team.name, cost, verdict.is_granted)
@@ -158,7 +162,7 @@
         return refuse_exhausted(allowance, cost, verdict, link.coordinator)
 
     async def request_permit(
-        self, start: str, allowance: Allowance, urgency: int, patience: float
+        self, start: str, allowance: Allowance, urgency: int, timeout: float
     ) -> AllowanceVerdict | None:
         """Return whether a request may be sent to a server that names a limit.
 
@@ -168,7 +172,7 @@
         link = self._find_link(start)
         if link is None:
             return None
-        return await self._ask(link, start, allowance, 1, urgency, patience)
+        return await self._request(link, start, allowance, 1, urgency, timeout)
 
     def open_links(self) -> None:
         """Link to the keepers now, if there is anything to ask them for."""
@@ -182,14 +186,14 @@
             return None
         return self._links[find_slot(name, len(self._links))]
 
-    async def _ask(
+    async def _request(
         self,
         link: CoordinatorLink,
         name: str,
         allowance: Allowance,
         cost: int,
         urgency: int,
-        patience: float,
+        timeout: float,
     ) -> AllowanceVerdict | None:
         request = AllowanceRequest(
             link.next_number(),
@@ -200,24 +204,24 @@
             allowance.burst,
             cost,
             urgency,
-            patience,
+            timeout,
         )
         return await link.ask(request)
 
-    def give_back(self, taken: AllowanceGrant) -> None:
+    def give_back(self, grant: AllowanceGrant) -> None:
         """Give back what was taken for a request that has not run.
 
         After a while it has lapsed: a later window may not hold it as well.
         """
-        if not taken.cost or trio.current_time() - taken.at > RETURN_SECONDS / 2:
+        if not grant.cost or trio.current_time() - grant.at > RETURN_SECONDS / 2:
             return
         if not self._links:
             return
-        link = self._links[find_slot(taken.team, len(self._links))]
-        returned = ReturnedAllowance(taken.team, taken.unit, taken.cost)
+        link = self._links[find_slot(grant.team, len(self._links))]
+        returned = ReturnedAllowance(grant.team, grant.unit, grant.cost)
         if link.is_own_coordinator:
             ledger = self._get_ledger(len(self._links), link.hash_slot)
-            self._take_back(ledger, [returned], trio.current_time())
+            self._take_returns(ledger, [returned], trio.current_time())
         else:
             link.give_back(returned)
 
@@ -240,7 +244,7 @@
         name = message.sender.rpartition("#")[0]
         if accrued is not None and self._headcount.counts(name, now):
             ledger.receive(accrued, self._headcount.measure_share(now), now)
-        self._take_back(ledger, returned, now)
+        self._take_returns(ledger, returned, now)
         verdicts = [self._decide(ledger, request, now) for request in requests]
         if verdicts or message.wants_time:
             with trio.fail_after(ANSWER_TIMEOUT_SECONDS):
@@ -276,7 +280,7 @@
         outcome = ledger.ask(
             request.team,
             allowance,
-            self._plan(allowance),
+            self._plan_pace(allowance),
             request.cost,
             request.urgency,
             request.patience,
@@ -289,13 +293,13 @@
             request.number, False, outcome.retry_after, outcome.left, outcome.share
         )
 
-    def _take_back(
+    def _take_returns(
         self, ledger: Ledger, returned: list[ReturnedAllowance], now: float
     ) -> None:
         for entry in returned:
             allowance = self._list_limits().get(entry.team)
             if allowance is not None and allowance.unit is entry.unit:
-                pace = self._plan(allowance)
+                pace = self._plan_pace(allowance)
                 ledger.give_back(entry.team, allowance, pace, entry.cost, now)
 
     def _find_allowance(self, request: AllowanceRequest) -> Allowance | None:
@@ -309,10 +313,12 @@
             return make_allowance(rate)
         limits = self._list_limits()
         own = self._get_version()
-        if request.version > max(own, self._heard.get(request.team, _NOTHING)[0]):
-            told = Allowance(request.rate, request.burst, request.unit)
-            self._heard[request.team] = request.version, told
-        version, allowance = self._heard.get(request.team, _NOTHING)
+        if request.version > max(
+            own, self._received_limits.get(request.team, _NO_LIMIT)[0]
+        ):
+            received = Allowance(request.rate, request.burst, request.unit)
+            self._received_limits[request.team] = request.version, received
+        version, allowance = self._received_limits.get(request.team, _NO_LIMIT)
         return allowance if version > own else limits.get(request.team)
 
     def _get_version(self) -> int:
@@ -322,16 +328,18 @@
     def _list_limits(self) -> dict[str, Allowance]:
         """Return the limits of all teams that have one."""
         declaration = self._get_declaration()
-        if declaration is not self._known:
-            self._known = declaration
+        if declaration is not self._last_declaration:
+            self._last_declaration = declaration
             teams = declaration.teams_by_key.values() if declaration else ()
             self._limits = {t.name: t.allowance for t in teams if t.allowance}
             self._uses = {t: u for t, u in self._uses.items() if t in self._limits}
             version = self._get_version()
-            self._heard = {t: h for t, h in self._heard.items() if h[0] > version}
+            self._received_limits = {
+                t: h for t, h in self._received_limits.items() if h[0] > version
+            }
         return self._limits
 
-    def _plan(self, allowance: Allowance) -> Pace:
+    def _plan_pace(self, allowance: Allowance) -> Pace:
         if allowance.unit is AllowanceUnit.SERVER_REQUESTS:
             return plan_pace(allowance, SERVER_BOUNDS)
         return plan_pace(allowance, self._get_bounds())
@@ -346,9 +354,9 @@
         for ledger in self._ledgers.values():
             ledger.sweep(now)
         if self._has_server_limits():
-            self._needed_until = now + LINGER_SECONDS
-        is_needed = self._list_limits() or now < self._needed_until
-        wanted = count_slots(self._members.count()) if is_needed else 0
+            self._links_needed_until = now + LINGER_SECONDS
+        needs_links = self._list_limits() or now < self._links_needed_until
+        wanted = count_slots(self._members.count()) if needs_links else 0
         if wanted == len(self._links) or self._nursery is None:
             return
         for link in self._links:
