--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -95,7 +95,7 @@
         count_use: Callable[[str, int, bool], None],
         rng: random.Random,
         connect: Connect | None = None,
-        find_server_rate: Callable[[str], float | None] = lambda start: None,
+        find_server_rate: Callable[[str], float | None] = lambda start_id: None,
         has_server_limits: Callable[[], bool] = lambda: False,
     ):
         now = trio.current_time()
@@ -162,17 +162,17 @@
         return refuse_exhausted(allowance, cost, verdict, link.coordinator)
 
     async def request_permit(
-        self, start: str, allowance: Allowance, urgency: int, timeout: float
+        self, start_id: str, allowance: Allowance, urgency: int, timeout: float
     ) -> AllowanceVerdict | None:
         """Return whether a request may be sent to a server that names a limit.
 
         :param start: the start of the server, as its state names it.
         :param patience: how long to wait for the keeper (seconds).
         """
-        link = self._find_link(start)
+        link = self._find_link(start_id)
         if link is None:
             return None
-        return await self._request(link, start, allowance, 1, urgency, timeout)
+        return await self._request(link, start_id, allowance, 1, urgency, timeout)
 
     def open_links(self) -> None:
         """Link to the keepers now, if there is anything to ask them for."""
--- a/ashpond/controllers/permits.py
+++ b/ashpond/controllers/permits.py
@@ -34,7 +34,7 @@
         """Connect to whoever decides."""
 
     async def request_permit(
-        self, start: str, allowance: Allowance, urgency: int, timeout: float
+        self, start_id: str, allowance: Allowance, urgency: int, timeout: float
     ) -> AllowanceVerdict | None:
         """Return a verdict, None if there is none in time."""
 
