--- a/ashpond/controllers/admission.py
+++ b/ashpond/controllers/admission.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["AdmissionController", "Place"]
+__all__ = ["AdmissionController", "AdmissionSlot"]
 
 import itertools
 from typing import TYPE_CHECKING, NamedTuple
@@ -27,10 +27,10 @@
 
 REFRESH_SECONDS = 0.25
 BUSY_REFRESH_SECONDS = 0.05
-LATE_STATUS = 503
+DEADLINE_STATUS = 503
 
 
-class Place(NamedTuple):
+class AdmissionSlot(NamedTuple):
     """A started request's place; give it back with ``leave``."""
 
     service: str
@@ -77,7 +77,7 @@
             waiting = any(queue.waiting for queue in self._queues.values())
             await trio.sleep(BUSY_REFRESH_SECONDS if waiting else REFRESH_SECONDS)
 
-    async def enter(self, call: Call, cost: float) -> Place | Refusal:
+    async def enter(self, call: Call, cost: float) -> AdmissionSlot | Refusal:
         """Wait until the call may start, at most until its deadline."""
         assert call.team is not None
         queue = self._queues[call.service_name]
@@ -93,7 +93,7 @@
         if isinstance(outcome, Refusal):
             return outcome
         if isinstance(outcome, Admitted):
-            return Place(call.service_name, trio.current_time())
+            return AdmissionSlot(call.service_name, trio.current_time())
         for shed in outcome.shed:
             refusal = queue.refuse(shed, trio.current_time())
             self._waiters[shed.number].decide(refusal)
@@ -101,7 +101,7 @@
 
     async def _wait(
         self, queue: AdmissionQueue, ticket: Ticket, service: str
-    ) -> Place | Refusal:
+    ) -> AdmissionSlot | Refusal:
         waiter = _Waiter()
         self._waiters[ticket.number] = waiter
         try:
@@ -114,12 +114,12 @@
             del self._waiters[ticket.number]
         if not waiter.decided.is_set():
             queue.abandon(ticket)
-            late = queue.refuse(ticket, trio.current_time())
+            refusal = queue.refuse(ticket, trio.current_time())
             text = "the request could not start before its deadline"
-            return late._replace(status=LATE_STATUS, kind="late", message=text)
+            return refusal._replace(status=DEADLINE_STATUS, kind="late", message=text)
         if waiter.refusal is not None:
             return waiter.refusal
-        return Place(service, trio.current_time())
+        return AdmissionSlot(service, trio.current_time())
 
     def _withdraw(self, queue: AdmissionQueue, ticket: Ticket, waiter: _Waiter) -> None:
         if waiter.decided.is_set() and waiter.refusal is None:
@@ -128,13 +128,13 @@
         else:
             queue.abandon(ticket)
 
-    def leave(self, place: Place) -> None:
+    def leave(self, slot: AdmissionSlot) -> None:
         """Give back a place and start who is next."""
-        queue = self._queues.get(place.service)
+        queue = self._queues.get(slot.service)
         if queue is not None:
             now = trio.current_time()
-            queue.release(now - place.started_at, now)
-            queue.pressure = self._engines.estimate_wait(place.service)
+            queue.release(now - slot.started_at, now)
+            queue.pressure = self._engines.estimate_wait(slot.service)
             self._start_ready(queue)
 
     def _start_ready(self, queue: AdmissionQueue) -> None:
