--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Budgets"]
+__all__ = ["RetryBudgets"]
 
 from collections.abc import Callable, Container
 from typing import TYPE_CHECKING
@@ -16,7 +16,7 @@
     from ashpond.news.room import Newsroom
 
 
-class Budgets:
+class RetryBudgets:
     """What this instance and, as far as it hears, all others have sent again.
 
     :param get_bounds: returns the bounds in force.
@@ -50,7 +50,7 @@
         budget.lag = self._get_news().measure_lag()
         return budget
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Go by the bounds now in force."""
         self.by_service.clear()
 
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -10,7 +10,7 @@
 
 from ashpond.clients.channels import ChannelPool
 from ashpond.controllers.allowances import Allowances
-from ashpond.controllers.budgets import Budgets
+from ashpond.controllers.budgets import RetryBudgets
 from ashpond.controllers.cachestores import EVENTS_PREFIX, CacheStores
 from ashpond.controllers.crashdetection import CrashDetector
 from ashpond.controllers.feeds import Feed, Follower, TableUpdate
@@ -115,7 +115,7 @@
         self.stores = CacheStores(
             lambda: self.news.is_reader, lambda news: self.news.publish(news)
         )
-        self.budgets = Budgets(
+        self.budgets = RetryBudgets(
             lambda: self.settings.bounds,
             lambda: self.news,
             lambda: self.members.count(),
@@ -378,7 +378,7 @@
             self.log.note("settings_refused", problems=str(error))
             return
         if has_changed:
-            self.budgets.begin_anew()
+            self.budgets.reset()
             keep = self.settings.bounds.quarantine_s
             self.quarantine.suspicions.keep_seconds = keep
             for feed in self._build_feeds():
