--- a/ashpond/controllers/claims.py
+++ b/ashpond/controllers/claims.py
@@ -34,8 +34,8 @@
     from ashpond.settings import Settings
 
 MAX_BATCH = 64
-MAX_KEPT_ANSWER = 64 * 1024
-FINISH_TRIES = 8
+MAX_STORED_ANSWER_BYTES = 64 * 1024
+FINISH_ATTEMPTS = 8
 FINISH_PAUSE_SECONDS = 0.5
 
 
@@ -54,12 +54,12 @@
 
     def __init__(self, put: Put):
         self.put = put
-        self.ended = trio.Event()
+        self.done = trio.Event()
         self.outcome: StoreOutcome = Unavailable("not sent")
 
-    def end(self, outcome: StoreOutcome) -> None:
+    def complete(self, outcome: StoreOutcome) -> None:
         self.outcome = outcome
-        self.ended.set()
+        self.done.set()
 
 
 class ClaimsController:
@@ -113,7 +113,7 @@
         step: Any = protocol.start()
         try:
             while not isinstance(step, Dispatch | Replay | Refusal):
-                step = await self._carry_out(protocol, step, key, ttl)
+                step = await self._execute_step(protocol, step, key, ttl)
         finally:
             if not isinstance(step, Dispatch):
                 self.registry.give_up(attempt)
@@ -122,7 +122,7 @@
             return Claim(key, attempt, step.version, digest, ttl)
         return step
 
-    async def _carry_out(
+    async def _execute_step(
         self, protocol: ClaimProtocol, step: Any, key: str, ttl: float
     ) -> Any:
         if isinstance(step, InsertClaim):
@@ -159,8 +159,8 @@
 
     def finish(self, claim: Claim, answer: bytes) -> None:
         """Keep a whole answer for duplicates, in the background."""
-        kept = answer if len(answer) <= MAX_KEPT_ANSWER else b""
-        row = ClaimRow(claim.attempt, claim.digest, finished=True, answer=kept)
+        stored = answer if len(answer) <= MAX_STORED_ANSWER_BYTES else b""
+        row = ClaimRow(claim.attempt, claim.digest, finished=True, answer=stored)
         self._finishes.send_nowait((claim, row))
 
     def release(self, claim: Claim) -> None:
@@ -173,7 +173,7 @@
     async def _write(self, put: Put) -> StoreOutcome:
         write = _Write(put)
         self._send.send_nowait(write)
-        await write.ended.wait()
+        await write.done.wait()
         return write.outcome
 
     async def _run_finisher(self, nursery: trio.Nursery) -> None:
@@ -182,57 +182,57 @@
 
     async def _finish(self, claim: Claim, row: ClaimRow) -> None:
         put = Put(claim.key, pack_claim(row), claim.version, claim.ttl)
-        for count in range(FINISH_TRIES):
+        for retry in range(FINISH_ATTEMPTS):
             outcome = await self._write(put)
             if isinstance(outcome, Done | Conflict):
                 # From now on the row itself tells what became of the attempt.
                 self.registry.forget(claim.attempt)
                 return
-            await trio.sleep(FINISH_PAUSE_SECONDS * 2**count)
+            await trio.sleep(FINISH_PAUSE_SECONDS * 2**retry)
 
     async def _run_writer(self) -> None:
-        held: list[_Write] = []
+        pending: list[_Write] = []
         while True:
-            if not held:
-                held.append(await self._receive.receive())
-            while len(held) < self._max_batch:
+            if not pending:
+                pending.append(await self._receive.receive())
+            while len(pending) < self._max_batch:
                 try:
-                    held.append(self._receive.receive_nowait())
+                    pending.append(self._receive.receive_nowait())
                 except trio.WouldBlock:
                     break
-            batch, held = split_batch(held)
-            held = await self._write_batch(batch) + held
+            batch, pending = split_batch(pending)
+            pending = await self._write_batch(batch) + pending
 
     async def _write_batch(self, batch: list[_Write]) -> list[_Write]:
         """Write one transaction; return the writes that must be tried again."""
         outcome = await self._platform.transact([write.put for write in batch])
         if isinstance(outcome, Done):
             for write, version in zip(batch, outcome.value, strict=True):
-                write.end(Done(version))
+                write.complete(Done(version))
             return []
         if not isinstance(outcome, Conflict):
             for write in batch:
-                write.end(outcome)
+                write.complete(outcome)
             return []
-        again = []
+        conflict_free = []
         for write in batch:
             if write.put.key in outcome.current:
-                write.end(outcome)
+                write.complete(outcome)
             else:
-                again.append(write)
-        return again
+                conflict_free.append(write)
+        return conflict_free
 
 
 def split_batch(writes: list[_Write]) -> tuple[list[_Write], list[_Write]]:
     """Return writes with different keys, and those that have to wait."""
     first: dict[str, _Write] = {}
-    rest = []
+    deferred = []
     for write in writes:
         if write.put.key in first:
-            rest.append(write)
+            deferred.append(write)
         else:
             first[write.put.key] = write
-    return list(first.values()), rest
+    return list(first.values()), deferred
 
 
 def pack_claim(row: ClaimRow) -> dict[str, Any]:
