--- a/ashpond/api/admin.py
+++ b/ashpond/api/admin.py
@@ -110,7 +110,7 @@
             problems = [str(problem) for problem in error.problems]
             return reply({"error": "the files hold faults", "problems": problems}, 422)
         if isinstance(outcome, Accepted):
-            members.put_own_fact()
+            members.update_own_fact()
             members.announce()
             return reply({"generation": outcome.generation})
         if isinstance(outcome, Rejected):
--- a/ashpond/application.py
+++ b/ashpond/application.py
@@ -110,7 +110,9 @@
         )
         self._draining = trio.Event()
         self._heard, self._hear = trio.open_memory_channel[Fact](64)
-        self.members.contribute(GENERATION_PART, lambda: self.configuration.generation)
+        self.members.add_fact_part(
+            GENERATION_PART, lambda: self.configuration.generation
+        )
         self.members.on_fact(self._notice_generation)
 
     async def run(self) -> None:
@@ -210,7 +212,7 @@
         logger.notice("draining")
         self._draining.set()
         self.members.state = MemberState.LEAVING
-        self.members.put_own_fact()
+        self.members.update_own_fact()
         self.members.announce()
 
     async def _wait_for_drain(self) -> None:
@@ -239,7 +241,7 @@
             answer = await self._ask(fact.origin, ConfigRequest(above))
             if isinstance(answer, ConfigAnswer):
                 if self.configuration.adopt_from_peer(answer):
-                    self.members.put_own_fact()
+                    self.members.update_own_fact()
                     self.members.announce()
             else:
                 await self.configuration.refresh()
--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -27,13 +27,13 @@
     def __init__(
         self,
         get_bounds: Callable[[], GatewayBounds],
-        get_news: Callable[[], Newsroom],
+        get_updates: Callable[[], Newsroom],
         count_instances: Callable[[], int],
     ):
         self.by_service: dict[str, FleetRetryBudget] = {}
         self._started_at = trio.current_time()
         self._get_bounds = get_bounds
-        self._get_news = get_news
+        self._get_updates = get_updates
         self._count_instances = count_instances
 
     def get(self, service: str) -> FleetRetryBudget:
@@ -47,7 +47,7 @@
                 bounds.retry_window_s,
                 self._started_at,
             )
-        budget.lag = self._get_news().measure_lag()
+        budget.lag = self._get_updates().measure_lag()
         return budget
 
     def reset(self) -> None:
@@ -72,6 +72,6 @@
         """Return how many streams a load may cut, which then are sent once more."""
         now = trio.current_time()
         budget = self.get(service)
-        if self._get_news().links.group:
+        if self._get_updates().links.group:
             return budget.measure_fleet_left(now)
         return budget.measure_left(self._count_instances(), now)
--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -77,7 +77,7 @@
         late = settings.timing.gossip * LATE_PERIODS
         self._suspicions = CrashRecords(KEEP_SECONDS, self._ends.measure_hazard, late)
         engines.on_crash = self._ends.note_ended
-        members.contribute(ENDS_PART, self._describe)
+        members.add_fact_part(ENDS_PART, self._describe)
         members.on_fact(self._take_fact)
 
     async def run(self) -> None:
--- a/ashpond/controllers/configuration.py
+++ b/ashpond/controllers/configuration.py
@@ -38,7 +38,7 @@
 logger = Logger("ashpond.configuration")
 
 HEAD_KEY = "configuration/head"
-MAX_SWAPS = 8
+MAX_SWAP_ATTEMPTS = 8
 
 
 class ApplyFailed(NamedTuple):
@@ -129,7 +129,7 @@
             for name, text in files.items()
         }
         request = ApplyRequest(apply_id, base, digests)
-        for _ in range(MAX_SWAPS):
+        for _ in range(MAX_SWAP_ATTEMPTS):
             outcome = await self._try_apply(request, files)
             if outcome is not None:
                 return outcome
--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -120,7 +120,7 @@
         )
         self._changed = trio.Event()
         configuration.subscribe(self._notice_change)
-        members.contribute(LEAVING_PART, self._list_draining)
+        members.add_fact_part(LEAVING_PART, self._list_draining)
 
     def _notice_change(self) -> None:
         self._changed.set()
--- a/ashpond/controllers/limits.py
+++ b/ashpond/controllers/limits.py
@@ -16,7 +16,7 @@
     from ashpond.controllers.members import MembersController
 
 DEMAND_PART = "demand"
-SHARE_SECONDS = 1.0
+REDISTRIBUTION_SECONDS = 1.0
 DEMAND_SMOOTHING = 0.5
 
 
@@ -30,7 +30,7 @@
         self._members = members
         self._buckets: dict[str, TokenBucket] = {}
         self._demand: dict[str, float] = {}
-        members.contribute(DEMAND_PART, self._list_demand)
+        members.add_fact_part(DEMAND_PART, self._list_demand)
 
     def take(self, name: str, team: TeamConfig) -> float:
         """Take one request of a team; return 0, or the seconds to wait."""
@@ -47,10 +47,10 @@
     async def run(self) -> None:
         """Share the limits out anew for ever."""
         while True:
-            await trio.sleep(SHARE_SECONDS)
-            self._share()
+            await trio.sleep(REDISTRIBUTION_SECONDS)
+            self._redistribute()
 
-    def _share(self) -> None:
+    def _redistribute(self) -> None:
         teams = self._configuration.current.teams
         others = self._members.read_parts(DEMAND_PART)
         instances = self._members.count_instances()
@@ -61,12 +61,12 @@
                 self._demand.pop(name, None)
                 continue
             bucket = self._buckets[name]
-            rate = bucket.read_demand() / SHARE_SECONDS
+            rate = bucket.read_demand() / REDISTRIBUTION_SECONDS
             smoothed = self._demand.get(name, rate)
             smoothed += DEMAND_SMOOTHING * (rate - smoothed)
             self._demand[name] = smoothed
-            heard = [_read_demand(part, name) for part in others.values()]
-            limit = share_limit(team.requests_per_second, smoothed, heard, instances)
+            reported = [_read_demand(part, name) for part in others.values()]
+            limit = share_limit(team.requests_per_second, smoothed, reported, instances)
             bucket.set_rate(limit, trio.current_time())
 
     def _list_demand(self) -> dict[str, float]:
--- a/ashpond/controllers/members.py
+++ b/ashpond/controllers/members.py
@@ -59,7 +59,7 @@
         self._wake = trio.Event()
         self._links: dict[str, trio.CancelScope] = {}
 
-    def contribute(self, name: str, produce: Callable[[], Any]) -> None:
+    def add_fact_part(self, name: str, produce: Callable[[], Any]) -> None:
         """Add a part to the own fact, made anew in each gossip period."""
         self._parts[name] = produce
 
@@ -94,15 +94,15 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._refresh_fact)
             nursery.start_soon(self._poll_list)
-            nursery.start_soon(self._keep_links, nursery)
+            nursery.start_soon(self._maintain_links, nursery)
 
     async def _refresh_fact(self) -> None:
         while True:
-            self.put_own_fact()
+            self.update_own_fact()
             with trio.move_on_after(self._settings.timing.gossip):
                 await self._wake.wait()
 
-    def put_own_fact(self) -> None:
+    def update_own_fact(self) -> None:
         """Make the own fact anew."""
         self._sequence += 1
         body = {name: produce() for name, produce in self._parts.items()}
@@ -127,7 +127,7 @@
         addresses.update(fact.origin for fact in self.list_live())
         return sorted(addresses)
 
-    async def _keep_links(self, nursery: trio.Nursery) -> None:
+    async def _maintain_links(self, nursery: trio.Nursery) -> None:
         while True:
             addresses = self.list_addresses()
             wanted = set(choose_links(self.address, addresses, LINK_COUNT))
@@ -146,18 +146,18 @@
         pause = self._settings.timing.gossip
         with scope:
             while True:
-                began = trio.current_time()
+                started_at = trio.current_time()
                 try:
-                    await self._talk(address)
+                    await self._gossip_with(address)
                 except LINK_FAILURES:
                     # The link is made anew after a pause, and starts from nothing.
                     pass
-                if trio.current_time() - began > MAX_PAUSE_SECONDS:
+                if trio.current_time() - started_at > MAX_PAUSE_SECONDS:
                     pause = self._settings.timing.gossip
                 await trio.sleep(pause * random.uniform(0.5, 1.0))
                 pause = min(MAX_PAUSE_SECONDS, pause * 2)
 
-    async def _talk(self, address: str) -> None:
+    async def _gossip_with(self, address: str) -> None:
         limits = self._settings.limits
         with trio.fail_after(self._settings.timing.connect_timeout):
             stream = await connect_peer(
@@ -184,12 +184,12 @@
 
     def collect_facts(self, link: str) -> Facts:
         """Return what the peer behind ``link`` has not heard from here."""
-        news = self.table.collect_news(link)
-        return Facts(self.address, [list(fact) for fact in news])
+        facts = self.table.collect_news(link)
+        return Facts(self.address, [list(fact) for fact in facts])
 
     def take_facts(self, message: Facts) -> None:
         """Take in a peer's facts; ones of the wrong form are passed over."""
-        facts = [fact for item in message.facts if (fact := make_fact(item))]
+        facts = [fact for item in message.facts if (fact := parse_fact(item))]
         self.table.note_known(message.sender, facts)
         for fact in facts:
             if fact.origin == self.address:
@@ -199,12 +199,16 @@
                     listener(fact)
 
 
-def make_fact(item: Any) -> Fact | None:
+def parse_fact(item: Any) -> Fact | None:
     """Return the fact that a peer sent, ``None`` if its form is wrong."""
     if not isinstance(item, list) or len(item) != len(Fact._fields):
         return None
     origin, epoch, sequence, body = item
-    numbers = isinstance(epoch, int) and isinstance(sequence, int)
-    if not numbers or not isinstance(origin, str) or not isinstance(body, dict):
+    has_valid_numbers = isinstance(epoch, int) and isinstance(sequence, int)
+    if (
+        not has_valid_numbers
+        or not isinstance(origin, str)
+        or not isinstance(body, dict)
+    ):
         return None
     return Fact(origin, epoch, sequence, body)
--- a/ashpond/controllers/orderlease.py
+++ b/ashpond/controllers/orderlease.py
@@ -72,27 +72,27 @@
         self._rank = 0
         # The rows of earlier eras, which the first write in this one removes.
         self._old_keys: set[str] = set()
-        self._knows_return = False
+        self._knows_restore = False
         store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
         self.lease.begin_era(self._store.era.current, trio.current_time())
         self._has_read = False
-        self._knows_return = True
+        self._knows_restore = True
         self._old_keys.clear()
 
     def note_progress(self) -> None:
         """Note that some instance is giving orders."""
         self._progress_at = trio.current_time()
 
-    def rank_own(self) -> int:
+    def find_own_rank(self) -> int:
         """Return this instance's place in the order in which all contend."""
         members = self._get_members() or [self.lease.holder]
         if members != self._ranked_members:
             self._ranked_members = members
             ranked = rank_by_rendezvous(RENDEZVOUS_KEY, members)
-            is_there = self.lease.holder in ranked
-            self._rank = ranked.index(self.lease.holder) if is_there else len(ranked)
+            is_listed = self.lease.holder in ranked
+            self._rank = ranked.index(self.lease.holder) if is_listed else len(ranked)
         return self._rank
 
     async def hold(self, now: float, lag: float) -> None:
@@ -144,11 +144,11 @@
     def _may_contend(self, now: float, lag: float) -> bool:
         if self.lease.is_holder:
             return True
-        quiet = min(lag, now - self._progress_at)
-        wait = RANK_SECONDS * self.rank_own()
+        idle_seconds = min(lag, now - self._progress_at)
+        wait = RANK_SECONDS * self.find_own_rank()
         if self.lease.has_row:
             wait += NO_PROGRESS_SECONDS
-        return quiet >= wait
+        return idle_seconds >= wait
 
     async def _read_lease(self, now: float) -> None:
         self._read_at = now
@@ -162,10 +162,10 @@
         rows = [row for row in snapshot.rows if row.key == make_lease_key(era)]
         if not rows:
             self._old_keys = {row.key for row in snapshot.rows}
-            if self._old_keys and not self._knows_return:
+            if self._old_keys and not self._knows_restore:
                 # The store came back before this instance started; the last holder of
                 # the time before may not know.
-                self._knows_return = True
+                self._knows_restore = True
                 self.lease.begin_era(era, now)
             self._has_read = True
             self.lease.on_read(None, 0, now)
--- a/ashpond/controllers/peers.py
+++ b/ashpond/controllers/peers.py
@@ -89,14 +89,14 @@
             await stream.aclose()
 
     async def _answer(self, stream: PeerStream, message: PeerMessage) -> None:
-        reply = self._find_answer(message)
+        reply = self._build_answer(message)
         if reply is None:
             raise FrameError("a message that nobody asked for")
         before = stream.sent_bytes
         await stream.send(reply)
         self._metrics.peer_bytes.add({}, stream.sent_bytes - before)
 
-    def _find_answer(self, message: PeerMessage) -> PeerMessage | None:
+    def _build_answer(self, message: PeerMessage) -> PeerMessage | None:
         if isinstance(message, Facts):
             self._members.take_facts(message)
             return self._members.collect_facts(message.sender)
--- a/ashpond/gateway/rollouts.py
+++ b/ashpond/gateway/rollouts.py
@@ -153,7 +153,7 @@
 
     def _choose_tick(self) -> float:
         """Return when to look again: those whose turn may come seldom look seldom."""
-        is_near = self.lease.is_holder or self._order_lease.rank_own() == 0
+        is_near = self.lease.is_holder or self._order_lease.find_own_rank() == 0
         return TICK_SECONDS if is_near else WATCH_SECONDS
 
     def note_change(self) -> None:
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -30,7 +30,7 @@
         self.listener: Any = None
         self.produce: Any = None
 
-    def contribute(self, name: str, produce: Any) -> None:
+    def add_fact_part(self, name: str, produce: Any) -> None:
         assert name == ENDS_PART
         self.produce = produce
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
     parse_message,
     unpack_value,
 )
-from ashpond.controllers.members import MembersController, make_fact
+from ashpond.controllers.members import MembersController, parse_fact
 from ashpond.controllers.peers import PeerServer
 from ashpond.errors import FrameError
 from ashpond.metrics import Metrics
@@ -97,7 +97,7 @@
 
 @given(item=values)
 def test_facts_of_the_wrong_form_are_passed_over(item):
-    fact = make_fact(item)
+    fact = parse_fact(item)
     assert fact is None or fact.origin is not None
 
 
@@ -108,7 +108,7 @@
         settings = make_settings()
         metrics = Metrics()
         self.members = MembersController(settings, None, metrics)  # type: ignore[arg-type]
-        self.members.put_own_fact()
+        self.members.update_own_fact()
         self.server = PeerServer(
             settings,
             self.members,
