--- a/ashpond/controllers/cachestores.py
+++ b/ashpond/controllers/cachestores.py
@@ -1,7 +1,7 @@
-"""Follow what the cache stores hold, and whether they answer.
+"""Track the contents and the availability of the cache stores.
 
-The parts of a prompt go to one store, by rendezvous on what they are, so that all
-stores' memory and links are used.
+All parts of a prompt go to one store, chosen by rendezvous hashing of the last shared
+part, so that the memory and the links of all stores are used.
 """
 
 from __future__ import annotations
@@ -20,34 +20,37 @@
 from ashpond.gateway.orders import CacheEvent, CacheEvents, EnginePort
 from ashpond.gateway.store import Row
 
-# One waiting call at a time; changes are left to gather between them (seconds).
+# One call at a time is held open for events. The pause after an answer lets the next
+# one return several events at once (seconds).
 WAIT_SECONDS = 1.0
 PAUSE_SECONDS = 0.25
 RETRY_SECONDS = 0.4
 RECHECK_SECONDS = 0.5
-# A part on its way to the store is not sent again within this (seconds).
+# A part that a request is saving is not saved again within this time (seconds).
 SAVING_SECONDS = 2.0
-# After so long without news from the readers an instance asks the store, and so often
-# while they stay silent (seconds).
+# Time without an update from the readers after which an instance calls the store, and
+# the interval of further calls while no update arrives (seconds).
 READERS_IDLE_TIMEOUT_SECONDS = 3.0
-# What the events are passed on as: a table by this prefix, address and epoch, whose
-# rows are salt and part. Neither holds the separator.
+# Events are forwarded as rows of a table that is named by this prefix, the store's
+# address and its epoch. A row's key is the salt and the part; neither contains the
+# separator.
 EVENTS_PREFIX = "cache-events "
 SEPARATOR = "\x1f"
 
 
 class StoreContents:
-    """What one cache store holds, as its events tell.
-
-    A store answers a dozen callers at once and refuses others: among many instances
-    the readers ask it and pass its events on as changes of a table. Another asks it
-    once for what it has missed, and if that is refused goes on from what it is told: a
-    part that it does not know of is read or saved once more, one that has gone costs a
-    fetch in vain (a ms). While all of 195 instances asked again and again, the two
-    stores refused some 250 calls a second.
-
-    :param is_reader: whether this instance asks for others as well.
-    :param publish: tells the others what a call has brought.
+    """The parts that one cache store holds, according to its events.
+
+    A store serves a dozen calls at once and refuses others: polled by all of 195
+    instances, the two stores refused some 250 calls a second. In a large fleet only the
+    readers therefore poll the store, and forward its events as updates of a table. Any
+    other instance calls the store once for events that it has missed. If that call is
+    refused, it continues with the updates, without the missed events: a part that it
+    does not know of is read or saved once more, and a part that the store has evicted
+    costs a failed fetch (1 ms).
+
+    :param is_reader: returns whether this instance polls the store for others as well.
+    :param publish: sends an update to the instances that this instance forwards to.
     """
 
     def __init__(
@@ -58,7 +61,7 @@
     ) -> None:
         self.store = store
         self.is_up = False
-        # Whether all that the store holds is known, and not only what came since.
+        # Whether all parts in the store are known, not only those saved since a gap.
         self.is_complete = False
         self._stored_parts: set[tuple[str, str]] = set()
         self._saving_since: dict[tuple[str, str], float] = {}
@@ -83,7 +86,7 @@
         return tokens
 
     def plan_save(self, salt: str, prompt: Prompt, now: float) -> bool:
-        """Return whether a request should have its shared parts saved."""
+        """Return whether a request should save its shared parts in the store."""
         if not self.is_up:
             return False
         missing = [
@@ -98,7 +101,7 @@
         return bool(missing)
 
     def expire(self, now: float) -> None:
-        """Drop what has long been saved."""
+        """Remove records of saves that have had time to finish."""
         self._saving_since = {
             key: at
             for key, at in self._saving_since.items()
@@ -107,7 +110,7 @@
 
     async def follow(self, engines: EnginePort, log: DecisionLog) -> None:
         """Follow the store until cancelled."""
-        # Those that rely on readers hear of it within a moment.
+        # An instance that is no reader waits for the first update before it calls.
         self._updated_at = trio.current_time()
         while True:
             if self._is_served_by_readers(trio.current_time()):
@@ -117,12 +120,12 @@
                 await self._poll(engines, log)
 
     def apply_update(self, update: TableUpdate) -> bool:
-        """Take what a reader has forwarded; return whether to forward it."""
+        """Apply an update that was forwarded; return whether to forward it further."""
         now = trio.current_time()
         epoch = self._parse_epoch(update)
         is_new_epoch = epoch != self._epoch
         if epoch is None or (self._is_reader() and is_new_epoch):
-            # Of another life, a reader asks the store itself.
+            # A reader learns of another epoch from the store itself.
             return False
         is_gap = update.after > (0 if is_new_epoch else self._last_number)
         if is_gap and not self._accepts_gap:
@@ -144,19 +147,19 @@
         return should_forward
 
     def _is_served_by_readers(self, now: float) -> bool:
-        """Return whether readers tell what there is to know."""
+        """Return whether updates from readers make a call unnecessary."""
         if self._has_gap or self._is_reader():
             return False
         return now - self._updated_at < READERS_IDLE_TIMEOUT_SECONDS
 
     def _begin_epoch(self, epoch: int | None) -> None:
-        """Forget what an earlier life of the store held."""
+        """Remove all parts known from an earlier epoch of the store."""
         self._stored_parts.clear()
         self.is_complete = False
         self._epoch, self._last_number = epoch, 0
 
     async def _poll(self, engines: EnginePort, log: DecisionLog) -> None:
-        """Ask the store once for its changes, and tell the others."""
+        """Call the store once for new events; a reader publishes them."""
         since = self._last_number
         address = self.store.address
         answer = await engines.read_cache_events(address, since, WAIT_SECONDS)
@@ -169,12 +172,12 @@
         self.is_up = True
         if self._epoch is not None and answer.epoch != self._epoch:
             self._begin_epoch(answer.epoch)
-            # What it holds now is asked for at once.
+            # The next call reads the new epoch's events at once.
             self._has_gap = True
             return
         if since == 0 or answer.is_gap:
             self.is_complete = not answer.is_gap
-        # Readers may have told of later events while the call was out.
+        # Updates may have brought later events during the call.
         self._apply(tuple(e for e in answer.events if e.number > self._last_number))
         self._epoch, self._last_number = (
             answer.epoch,
@@ -188,24 +191,29 @@
     async def _handle_failure(
         self, had_gap: bool, reason: str, log: DecisionLog
     ) -> None:
-        """Go on after a call that brought nothing."""
+        """Record a failed call and wait for the retry.
+
+        A failed call for missed events does not mark the store as down: the next
+        update is applied in spite of the gap.
+        """
         if had_gap and not self._is_reader():
             self._accepts_gap = True
             return
         if self.is_up:
             log.note("cache_store_lost", store=self.store.address, reason=reason)
         self.is_up = False
-        # While readers are silent too, all of a fleet would ask.
+        # Restarts the idle timeout: without it, all instances would poll a store that
+        # no reader reaches.
         self._updated_at = trio.current_time()
         await trio.sleep(RETRY_SECONDS)
 
     def _parse_epoch(self, update: TableUpdate) -> int | None:
-        """Return the life of the store that news are about."""
+        """Return the epoch of the store that an update belongs to, None if invalid."""
         text = update.table.rpartition(" ")[2]
         return int(text) if text.isascii() and text.isdigit() else None
 
     def _make_table_name(self) -> str:
-        """Return what the events of this life of the store are passed on as."""
+        """Return the table name under which events of this epoch are forwarded."""
         return f"{EVENTS_PREFIX}{self.store.address} {self._epoch}"
 
     def _wake(self) -> None:
@@ -235,7 +243,7 @@
         self._scopes: dict[str, trio.CancelScope] = {}
 
     def pick(self, prompt: Prompt, cache_namespace: str) -> StoreContents | None:
-        """Return the store for the parts of a prompt, if one is up."""
+        """Return the store for a prompt's shared parts, None if none is up."""
         up = [a for a, contents in self.by_address.items() if contents.is_up]
         if not up or len(prompt.parts) < 2:
             return None
@@ -247,12 +255,12 @@
         return sum(contents.is_up for contents in self.by_address.values())
 
     def expire(self, now: float) -> None:
-        """Drop what has long been saved."""
+        """Remove records of saves that have had time to finish."""
         for contents in self.by_address.values():
             contents.expire(now)
 
     def apply_update(self, update: TableUpdate) -> bool:
-        """Take what a reader has forwarded; return whether to forward it."""
+        """Apply an update to its store; return whether to forward it further."""
         address = update.table.removeprefix(EVENTS_PREFIX).partition(" ")[0]
         contents = self.by_address.get(address)
         return contents is not None and contents.apply_update(update)
--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -1,4 +1,4 @@
-"""Backend servers: who they are, how busy and well, and what they have cached."""
+"""Declared backend servers: their health, their load and their cached prompts."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class InFlight:
-    """One attempt that this instance has sent and that has not ended."""
+    """One attempt that this instance has sent and that is still running."""
 
     __slots__ = ("sent_at", "tokens")
 
@@ -44,7 +44,7 @@
 
 
 class ServerState:
-    """All that this instance knows of one backend server."""
+    """Everything that this instance knows about one backend server."""
 
     def __init__(
         self, name: str, config: BackendServerConfig, now: float, sample: int = 1
@@ -59,7 +59,7 @@
 
     @property
     def watched(self) -> WatchedServer:
-        """The start of the server that is known, for those that look for its end."""
+        """The server's current start, as crash detection watches it."""
         start = f"{self.name}#{self.view.incarnation}"
         config = self.config
         return WatchedServer(
@@ -68,11 +68,11 @@
 
     @property
     def is_loading(self) -> bool:
-        """Whether the engine is on its way to other weights."""
+        """Whether the engine is loading other weights."""
         return self.report is not None and bool(self.report.loading)
 
     def take_report(self, report: LoadReport, now: float) -> None:
-        """Take in a load report; another incarnation has an empty cache."""
+        """Apply a load report; a new incarnation starts with an empty cache."""
         if self.view.adopt_incarnation(report.incarnation):
             logger.notice(
                 "incarnation_changed",
@@ -83,7 +83,13 @@
         self.health.note_report(now)
 
     def build_candidate(self, blocks: tuple[int, ...]) -> Candidate:
-        """Return what placement reads of this server."""
+        """Return this server as a candidate for placement.
+
+        The candidate counts the tokens and requests of only those attempts that were
+        sent after the last report, which includes all earlier ones.
+
+        :param blocks: the hashes of the prompt's blocks, in order.
+        """
         since = self.report.observed_at if self.report else float("-inf")
         recent = [entry for entry in self.in_flight if entry.sent_at > since]
         return Candidate(
@@ -114,7 +120,7 @@
             settings.timing.connect_timeout, settings.timing.platform_timeout
         )
         self.servers: dict[str, ServerState] = {}
-        # Is told of each start of a server that is seen to have ended.
+        # Called with each start of a server that is found to have crashed.
         self.on_crash: Callable[[WatchedServer, CrashEvidence], None] = (
             lambda server, evidence: None
         )
@@ -126,7 +132,7 @@
         self._changed.set()
 
     async def run(self) -> None:
-        """Watch the servers of whichever configuration is in force."""
+        """Watch the servers of the configuration in force until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_member_list)
             while True:
@@ -202,7 +208,7 @@
             logger.notice("server_leaving", extra=extra)
 
     def _collect_leaving_addresses(self) -> set[str]:
-        """Return the addresses that the platform or a peer says are leaving."""
+        """Return the addresses that the platform or a peer reports as leaving."""
         listed = {
             member.address
             for member in self._members.listed
@@ -212,7 +218,7 @@
         return listed.union(*(part for part in reported if isinstance(part, list)))
 
     async def _follow_member_list(self) -> None:
-        # A server that answers no more still has to be left when it is listed.
+        # A server that no longer answers must still be drained when it is listed.
         while True:
             leaving = self._collect_leaving_addresses()
             for state in self.servers.values():
@@ -221,8 +227,8 @@
             await trio.sleep(self._settings.timing.members_poll)
 
     def _list_draining(self) -> list[str]:
-        # Only what the servers and the platform said: a peer's word passed on
-        # as one's own would keep itself alive for ever.
+        # Only what the servers themselves report: if instances repeated what a peer
+        # reports, they would confirm it to each other for ever.
         return sorted(
             state.config.address
             for state in self.servers.values()
@@ -230,9 +236,11 @@
         )
 
     def list_usable(self, service: str, skip: set[str]) -> list[ServerState]:
-        """Return the servers of a service that get new work.
+        """Return the servers of a service that get new requests.
 
-        :param skip: servers to leave out, unless there is no other one.
+        Servers that load other weights are left out, unless there is no other one.
+
+        :param skip: names of servers to leave out, unless there is no other one.
         """
         now = trio.current_time()
         health = {
@@ -250,10 +258,10 @@
         return [s for s in self.servers.values() if s.config.service == service]
 
     def estimate_wait(self, service: str) -> float:
-        """Return the seconds that new work waits at the least busy engine.
+        """Return the seconds that a new request waits at the least busy engine.
 
-        What the others have sent since the last report is not known; they are
-        taken to have sent as much as this instance.
+        It is not known what the other instances have sent since the last report. The
+        estimate assumes that each has sent as much as this instance.
         """
         now = trio.current_time()
         instances = self._members.count_instances()
@@ -270,7 +278,10 @@
         return min(waits, default=0.0)
 
     def list_slot_counts(self, service: str, declared: int) -> list[int]:
-        """Return how many requests each usable server runs at once."""
+        """Return how many requests each usable server runs at once.
+
+        :param declared: the number for servers that have not reported theirs.
+        """
         now = trio.current_time()
         return [
             state.report.max_running if state.report else declared
@@ -279,10 +290,10 @@
         ]
 
     def note_sent(self, name: str, tokens: int, blocks: tuple[int, ...]) -> InFlight:
-        """Record an attempt about to be sent.
+        """Record an attempt that is about to be sent.
 
-        Its blocks count as cached from now on: a like prompt that follows to
-        the same engine is worked on after it and finds them.
+        Its blocks count as cached from now on: the engine processes a later prompt
+        with the same blocks after this one, and finds them in its cache.
         """
         state = self.servers[name]
         state.health.note_sent()
@@ -292,14 +303,19 @@
         return entry
 
     def note_ended(self, name: str, entry: InFlight) -> None:
-        """Record the end of an attempt, whichever way."""
+        """Record that an attempt has ended, with or without an answer."""
         if name in self.servers:
             self.servers[name].in_flight.discard(entry)
 
     def note_answer(
         self, name: str, incarnation: str, blocks: tuple[int, ...], cached: int | None
     ) -> None:
-        """Record an answer, and what it says about the engine's cache."""
+        """Record an answer, and its information about the engine's cache.
+
+        :param blocks: the hashes of the prompt's blocks; empty if the server is no
+            engine.
+        :param cached: how many of the blocks were cached, None if not reported.
+        """
         state = self.servers.get(name)
         if state is None:
             return
@@ -314,7 +330,7 @@
         state.view.note_used(incarnation, blocks)
 
     def note_failure(self, name: str, *, refused: bool) -> None:
-        """Record a failed attempt."""
+        """Record a failed attempt; a refused connection is evidence of a crash."""
         state = self.servers.get(name)
         if state is None:
             return
@@ -325,16 +341,16 @@
             logger.warning("server_ejected", extra={"server": name})
 
     def note_backoff(self, name: str, seconds: float) -> None:
-        """Leave a server alone for as long as it has asked for."""
+        """Send a server no requests for as long as it has asked for."""
         state = self.servers.get(name)
         if state is not None:
             state.health.note_backoff(trio.current_time(), seconds)
             logger.notice("server_backoff", extra={"server": name, "seconds": seconds})
 
     def find_retry_wait(self, service: str) -> float | None:
-        """Return in how many seconds the first backoff of a service ends.
+        """Return in how many seconds the first backoff of a service's servers ends.
 
-        None if one takes work now, or all leave.
+        None if a server takes requests now, or if all are draining.
         """
         now = trio.current_time()
         healths = [state.health for state in self.list_of_service(service)]
@@ -343,17 +359,20 @@
         return wait if wait > 0 else None
 
     def is_unresponsive(self, name: str) -> bool:
-        """Return whether a server has not reported for a while, or is gone."""
+        """Return whether a server has not reported lately, or is no longer declared."""
         state = self.servers.get(name)
         return state is None or not state.health.is_reporting(trio.current_time())
 
     def abandon_probe(self, name: str) -> None:
-        """Record that an attempt was given up by the caller."""
+        """Record that an attempt ended without evidence on the server's health."""
         if name in self.servers:
             self.servers[name].health.abandon_probe()
 
     def export_views(self, limit: int) -> dict[str, Any]:
-        """Return the cache views, for a peer that has just started."""
+        """Return the cache views, for a peer that has just started.
+
+        :param limit: the greatest number of blocks, over all servers.
+        """
         share = limit // max(1, len(self.servers))
         return {
             name: [state.view.incarnation, state.view.list_blocks(share)]
@@ -361,7 +380,7 @@
         }
 
     def import_views(self, views: dict[str, Any]) -> None:
-        """Take in a peer's cache views, for incarnations that still run."""
+        """Add the blocks of a peer's cache views, for incarnations that still run."""
         for name, item in views.items():
             if name not in self.servers or not _is_cache_view(item):
                 continue
--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -1,8 +1,9 @@
 """Follow the store's tables: operators' rows, backend servers, other instances.
 
-Among few instances each asks the store itself. Among many a few readers do, and pass
-on what they learn; the others ask only when they have received nothing for a while,
-when they have missed a change, or to set their idea of the store's clock right.
+In a small fleet each instance calls the store itself. In a large fleet a few readers
+do so and forward the changes as updates. The other instances call the store only if no
+update has arrived for a while, if they have missed a change, or to correct their
+estimate of the store's clock.
 """
 
 from __future__ import annotations
@@ -18,33 +19,38 @@
 from ashpond.gateway.store import HistoryLost, Row, Snapshot, Store, StoreClock
 from ashpond.outcomes import Done, Unavailable, Unknown
 
-# A call that failed is tried again after this, doubled up to the limit (seconds).
+# The pause before a failed call is retried, doubled up to the limit (seconds).
 RETRY_SECONDS = 0.1
 RETRY_LIMIT_SECONDS = 0.6
-# The limit for an instance that readers will wake (seconds).
+# The limit for an instance that a reader's update wakes in any case (seconds).
 IDLE_RETRY_LIMIT_SECONDS = 2.0
-# Clocks drift by up to 0.1 ms a second: an instance that is told all the same asks
-# the store itself so often (seconds), for one of its tables: any answer sets the clock
-# right, and 195 instances would spend 390 calls a minute on the two others.
+# Clocks drift by up to 0.1 ms a second, so an instance that receives updates still
+# calls the store at this interval (seconds). It does so for one of its tables only: any
+# answer corrects the clock, and calls for the two other tables would be 390 a minute
+# for 195 instances.
 RESYNC_SECONDS = 60.0
-# After the store came back from an older copy, who is told by readers waits so long
-# before it asks itself: 195 instances would read all three tables at once (seconds).
+# How long an instance other than a reader waits for an update after the store was
+# restored from an older copy, before it calls the store itself (seconds). Without the
+# wait, 195 instances would read all three tables at once.
 RESTORE_TIMEOUT_SECONDS = 1.5
-# A whole table is told in one message up to this size of its values (bytes).
+# A whole table is forwarded in one message up to this total size of its values (bytes).
 MAX_WHOLE_BYTES = 400_000
-# News that make an instance's knowledge younger by less are not forwarded (seconds).
+# An update without new rows is forwarded only if it confirms a table's rows as of a
+# moment at least this much later (seconds).
 MIN_FORWARD_SECONDS = 0.2
 
 
 class Feed(NamedTuple):
     """One table to follow.
 
-    :param wait: how long one call may wait for a change (seconds).
-    :param pause: how long changes are left to gather after an answer (seconds).
-    :param patience: after so long without news from a reader, ask the store (seconds).
-    :param on_rows: takes the snapshot, whether it is the whole table, and as of when
-        on this process's clock.
-    :param on_failure: is told of each call that brought nothing.
+    :param wait: how long the store may hold a call open for a change (seconds).
+    :param pause: delay after an answer with rows, so that the next one returns several
+        changes at once (seconds).
+    :param idle_timeout: time without an update after which an instance that is no
+        reader calls the store (seconds).
+    :param on_rows: called with the snapshot, whether it is the whole table, and the
+        time as of which it is valid, on this process's clock.
+    :param on_failure: called after each failed call.
     """
 
     table: str
@@ -56,11 +62,11 @@
 
 
 class TableUpdate(NamedTuple):
-    """What a reader learned: all changes of a table from ``after`` to ``version``.
+    """All changes of a table after version ``after`` up to ``version``.
 
-    ``store_time`` is the store's steady clock when it answered, in seconds. ``era`` is
-    that of the store's data, None if it tells none. ``is_whole`` tells that the rows
-    are all there are.
+    ``store_time`` is the store's monotonic clock when it answered, in seconds. ``era``
+    is the era of the store's data, None if the store reports none. ``is_whole`` is set
+    if the rows are the whole table.
     """
 
     table: str
@@ -73,10 +79,10 @@
 
 
 class Follower:
-    """Keeps what one feed is for up to date.
+    """Keeps one table's rows up to date, from the store or from readers' updates.
 
-    :param is_reader: whether this instance asks the store for others as well.
-    :param publish: tells those that rely on this instance what a call has brought.
+    :param is_reader: returns whether this instance calls the store for others as well.
+    :param publish: sends an update to the instances that this instance forwards to.
     """
 
     def __init__(
@@ -107,10 +113,10 @@
         store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
-        """Forget the version that is known: it may have been given out again.
+        """Discard the known version, which the restored store may assign again.
 
-        A call that waits for what comes after it would hear nothing, or not all, and
-        its empty answers would make old knowledge seem confirmed.
+        A call that waits for changes after that version would miss some or all of
+        them, and its empty answers would confirm outdated rows.
         """
         self._era_changes = self._store.era.changes
         self._version = None
@@ -130,7 +136,7 @@
                 await self._poll()
 
     def apply_update(self, update: TableUpdate) -> bool:
-        """Take what a reader has forwarded; return whether to forward it."""
+        """Apply an update that was forwarded; return whether to forward it further."""
         now = trio.current_time()
         era = self._store.era
         if era.is_older(update.era):
@@ -139,13 +145,13 @@
         if update.is_whole and (self._version is None or update.after > self._version):
             return self._apply_full_table(update, now)
         if self._version is None or update.after > self._version:
-            # A change in between was missed, or nothing is known yet.
+            # A change in between was missed, or no version is known yet.
             self._has_gap = self._version is not None
             self._wake()
             return False
         as_of = self._clock.date_relayed(update.store_time)
         if as_of is None or as_of > now:
-            # The store's clock is not what it was: ask for it.
+            # The estimate of the store's clock is wrong: a call corrects it.
             self._has_gap = True
             self._wake()
             return False
@@ -168,7 +174,7 @@
         return should_forward
 
     def _apply_full_table(self, update: TableUpdate, now: float) -> bool:
-        """Take a whole table in place of what is known."""
+        """Replace all known rows by an update's; return whether it was applied."""
         as_of = self._clock.date_relayed(update.store_time)
         if as_of is None or as_of > now:
             self._has_gap = self._version is not None
@@ -189,7 +195,7 @@
         return True
 
     def _measure_until_poll(self, now: float) -> float:
-        """Return for how long this instance need not ask the store (seconds)."""
+        """Return in how many seconds this instance has to call the store."""
         if self._version is None and not self._is_reader():
             return self._restored_at + RESTORE_TIMEOUT_SECONDS - now
         if self._version is None or self._has_gap or self._is_reader():
@@ -210,30 +216,30 @@
         self._update_event = trio.Event()
 
     async def _poll(self) -> None:
-        """Ask the store once, and tell the others."""
+        """Call the store once, and publish what it returned."""
         feed = self.feed
         after = self._version
         had_gap = self._has_gap
         self._clock.asked_at = trio.current_time()
-        # One that shows while the call is out may be newer than its answer.
+        # A gap that is found during the call may be newer than its answer.
         self._has_gap = False
         era_changes = self._era_changes
         outcome: Done | HistoryLost | Unavailable | Unknown
-        outcome = Unknown("the store came back from an older copy")
+        outcome = Unknown("the store was restored from an older copy")
         with trio.CancelScope() as self._call_scope:
             if after is None:
                 outcome = await self._store.read(feed.table)
             else:
-                # What is old already must not grow older while a call waits; and a
-                # store that was lost may have come back from an older copy, which only
-                # an answer tells.
+                # Rows that are already stale must not grow older while a call waits
+                # for changes. A store that was unreachable may have been restored from
+                # an older copy, which only an answer shows.
                 is_stale = self._measure_until_stale(trio.current_time()) <= 0
                 wait = 0.0 if had_gap or is_stale or self._is_store_down else feed.wait
                 outcome = await self._store.follow(feed.table, after, wait)
         if era_changes != self._era_changes and not (
             after is None and isinstance(outcome, Done)
         ):
-            # What it brought counts from a version of the time before, if anything.
+            # The call asked for changes after a version of the earlier era.
             return
         if not isinstance(outcome, Done):
             self._has_gap |= had_gap
@@ -259,13 +265,13 @@
     ) -> None:
         as_of = self._clock.date(snapshot)
         self._as_of = max(self._as_of, as_of)
-        # While the call was out, readers may have told of later changes.
+        # Updates may have brought later changes during the call.
         known = self._version if after is not None else None
         if known is not None and known > snapshot.version:
             return
         self._version = snapshot.version
         self.feed.on_rows(snapshot, after is None, as_of)
-        # What a hub missed has not reached its group either.
+        # A change that a group's hub missed has not reached its group either.
         if self._is_reader() or had_gap:
             self._publish_update(snapshot, after)
 
@@ -278,8 +284,9 @@
             after = snapshot.version
             is_whole = sum(len(r.value or b"") for r in rows) <= MAX_WHOLE_BYTES
             if not is_whole:
-                # Which rows were removed meanwhile is not known: who knows less sees
-                # from this that it has missed a change, and asks.
+                # It is not known which rows were removed in between. An update without
+                # rows shows an instance with an older version that it has missed a
+                # change, and that instance calls the store.
                 rows = ()
         self._must_publish_table = False
         self._publish(
--- a/ashpond/controllers/invalidrows.py
+++ b/ashpond/controllers/invalidrows.py
@@ -1,4 +1,4 @@
-"""Rows of the store that are not what their tables hold, kept for operators."""
+"""Rows of the store that could not be decoded, listed for operators."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import InvalidRow
 
-# Any number of rows may be damaged; so many are remembered, some 200 bytes each.
+# The number of damaged rows is unlimited; this many are kept, some 200 bytes each.
 MAX_ROWS = 200
 
 
 class InvalidRows:
-    """The rows that are passed over at present; each version is told once.
+    """The rows that are skipped at present; each version of a row is logged once.
 
-    :param on_found: is called for each row and version, with the row's table.
+    :param on_found: called with the row's table, once for each version of a row.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._by_key: dict[tuple[str, str], InvalidRow] = {}
 
     def note(self, row: InvalidRow) -> None:
-        """Note that a row is passed over."""
+        """Record a row that was skipped, and log it if this version is new."""
         known = self._by_key.get((row.table, row.key))
         if known is not None and known.version >= row.version:
             return
@@ -45,13 +45,13 @@
         )
 
     def clear(self, table: str, key: str) -> None:
-        """Note that a row is whole, or was removed."""
+        """Remove the record of a row that is valid again or was removed."""
         self._by_key.pop((table, key), None)
 
     def clear_all(self) -> None:
-        """Forget which versions were told of: they may be given out again."""
+        """Remove all records, as a restored store may assign their versions again."""
         self._by_key.clear()
 
     def list_all(self) -> list[InvalidRow]:
-        """Return those that are remembered, the oldest first."""
+        """Return the recorded rows, oldest first."""
         return list(self._by_key.values())
--- a/ashpond/controllers/rollout.py
+++ b/ashpond/controllers/rollout.py
@@ -1,4 +1,4 @@
-"""Bring each engine to the declared weights, under one lease a service."""
+"""Bring all engines to their service's declared weights, under a lease per service."""
 
 from __future__ import annotations
 
@@ -33,10 +33,11 @@
 
 
 class RolloutController:
-    """Contends for the leases of model services and gives orders under them.
+    """Contends for the leases of model services and orders weights while holding them.
 
-    Only two instances contend for each lease, the same wherever asked, so that
-    the platform's reads do not grow with the number of instances.
+    Only two instances contend for each lease, so that the number of reads from the
+    platform does not grow with the number of instances. Each instance computes the same
+    two from the list of members.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self.leases: dict[str, Lease] = {}
 
     async def run(self) -> None:
-        """Contend and give orders for ever."""
+        """Contend for the leases and send orders until cancelled."""
         while True:
             await trio.sleep(TICK_SECONDS)
             for name, service in self._configuration.current.services.items():
@@ -104,7 +105,8 @@
         now = trio.current_time()
         observed = [_read_weights(state, now) for state in servers.values()]
         for name in plan_rollout(observed, weights):
-            # Checked straight before each send: this process may have slept.
+            # Checked right before each order: the process may have been suspended and
+            # the lease have expired meanwhile.
             if not lease.holds(trio.current_time()):
                 return
             order = Order("weights", lease.fence, weights=weights)
--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -1,4 +1,4 @@
-"""Turn the rows of the store into what an instance knows."""
+"""Decode the rows of the store into the configuration and servers of an instance."""
 
 from __future__ import annotations
 
@@ -24,40 +24,45 @@
 from ashpond.gateway.store import InvalidRow, Row, Snapshot, StoreClock
 from ashpond.news.members import MEMBERS_TABLE, Members
 
-# A waiting call to the store also shows that nothing newer exists. With a slow
-# store's answer (0.6 s) its wait stays below the age at which an instance is no
-# longer ready: shares of the revocation bound, 1.7 s of 5 s.
+# How long a call for operators' rows is held open, as a share of the revocation bound
+# (1.7 s of 5 s). Its answer also confirms that nothing newer exists: with the time that
+# a slow store takes to answer (0.6 s), the wait stays below the age of knowledge at
+# which an instance is no longer ready.
 OPERATOR_WAIT_SHARE = 0.34
 SERVERS_WAIT_SECONDS = 5.0
 MEMBERS_WAIT_SECONDS = 20.0
-# After so long without news from the readers beyond their wait, an instance asks the
-# store itself: three steps between instances, and a slow answer (share of the bound).
+# How much longer than a reader's wait an instance waits for an update before it calls
+# the store itself, as a share of the bound. It covers a slow answer of the store and
+# three hops between instances.
 READERS_IDLE_TIMEOUT_SHARE = 0.12
-# Changes of servers come in groups while weights are loaded (seconds).
+# Changes of servers come in bursts while weights are loaded: a pause after each answer
+# lets the next one return several of them (seconds).
 SERVERS_PAUSE_SECONDS = 0.3
-# A store that came back from an older copy lacks what was written since, until those
-# who wrote it have done so again. A key that was removed then may be there for so long:
-# nothing that is read meanwhile makes knowledge younger (seconds).
+# A store that was restored from an older copy lacks all later writes until the writers
+# have repeated them. For this time (seconds) it may hold a key that was removed, so its
+# answers do not confirm the known configuration.
 RESTORE_SECONDS = 2.0
-# Servers that have gone are remembered so long, and so many: a copy may hold them.
+# For how long (seconds) and how many removed servers are kept, to recognize them in a
+# restored copy.
 REMOVED_SECONDS = 60.0
 MAX_REMOVED = 1_000
-# Entries that vanish so soon after the store failed may come back (seconds).
+# Entries that disappear within this time after a failure of the store may reappear
+# (seconds).
 RECENT_OUTAGE_SECONDS = 5.0
 
 
 class StoreView:
-    """Configuration, weight targets and servers, as the store's feeds tell them.
+    """Configuration, weight targets and servers, built from the store's rows.
 
-    A row that cannot be read is passed over and noted in ``invalid_rows``; all others
-    of its snapshot hold. A configuration that cannot be read leaves the one before it
-    in force, with the keys it has: refusing all calls for one bad row would cost far
-    more than the late revocation, which the next good one brings.
+    A row that cannot be decoded is skipped and recorded in ``invalid_rows``; the other
+    rows of its snapshot are applied. If the configuration cannot be decoded, the
+    previous one stays in force with its keys: refusing all calls for one damaged row
+    would cost far more than a revocation that is late until the next valid row.
 
-    :param on_configuration: is called after a new configuration.
-    :param on_servers: is called after a change of servers.
-    :param on_target: is called after a new weight target.
-    :param on_gone: is called with each server whose entry has gone.
+    :param on_configuration: called after a new configuration.
+    :param on_servers: called after a change of servers.
+    :param on_target: called after a new weight target.
+    :param on_removed: called with each server whose entry was removed.
     """
 
     def __init__(
@@ -82,12 +87,12 @@
         self._on_removed = on_removed
         self._failed_at = float("-inf")
         self._restored_at = float("-inf")
-        # By id the start and when it went, the oldest first.
+        # By server id: its start and the time of its removal, oldest removal first.
         self._removed: dict[str, tuple[int | None, float]] = {}
         platform.store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
-        """Believe what is known rather than a copy, until it has been written again."""
+        """Prefer known values to the restored rows until these are written again."""
         now = trio.current_time()
         self._restored_at = now
         self._failed_at = now
@@ -99,13 +104,13 @@
         return trio.current_time() - self._restored_at < RESTORE_SECONDS
 
     def note_failure(self) -> None:
-        """Note that the store did not answer."""
+        """Record that the store did not answer."""
         self._failed_at = trio.current_time()
 
     def take_operator_rows(
         self, snapshot: Snapshot, is_whole: bool, as_of: float
     ) -> None:
-        """Take over rows of the operators' table."""
+        """Apply rows of the operators' table, which are valid as of ``as_of``."""
         now = trio.current_time()
         for row in snapshot.rows:
             found = self._platform.decode_operator_row(row)
@@ -131,7 +136,7 @@
     def take_server_rows(
         self, snapshot: Snapshot, is_whole: bool, as_of: float
     ) -> None:
-        """Take over rows of the servers' table."""
+        """Apply rows of the servers' table; ``is_whole`` if they are all its rows."""
         now = trio.current_time()
         may_reappear = now - self._failed_at < RECENT_OUTAGE_SECONDS
         if is_whole:
@@ -173,10 +178,11 @@
         self._on_removed(removed)
 
     def _correct_restored(self, server: BackendServer) -> BackendServer | None:
-        """Return what an entry of a copy tells, beside what is known to be newer.
+        """Return a restored entry, corrected by newer knowledge of the same start.
 
-        A server that has gone, or is leaving, is in the copy as it was. Those that live
-        write their entries again, which then come as changes.
+        The copy may still hold a removed server (None is returned), or show a draining
+        one as ready. Running servers write their entries again, and these arrive as
+        changes.
         """
         removed = self._removed.get(server.id)
         if (
@@ -229,9 +235,10 @@
 def build_feeds(
     platform: Platform, view: StoreView, members: Members, revocation_bound: float
 ) -> list[Feed]:
-    """Return the tables that an instance follows.
+    """Return the feeds of the tables that an instance follows.
 
-    :param bound: from a key's removal until no request with it may run (seconds).
+    :param revocation_bound: time after a key's removal from which no request with it
+        may run (seconds).
     """
     operator_wait = revocation_bound * OPERATOR_WAIT_SHARE
     idle_timeout = revocation_bound * READERS_IDLE_TIMEOUT_SHARE
