--- a/ashpond/controllers/allowancegrants.py
+++ b/ashpond/controllers/allowancegrants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["AllowanceGrant", "refuse_unanswered", "refuse_exhausted", "grant_unlimited"]
+__all__ = ["AllowanceGrant", "grant_unlimited", "refuse_exhausted", "refuse_unanswered"]
 
 from typing import TYPE_CHECKING, NamedTuple
 
--- a/ashpond/controllers/crashdetection.py
+++ b/ashpond/controllers/crashdetection.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-__all__ = ["CrashEvidence", "LostRequest", "CrashDetector", "WatchedServer"]
+__all__ = ["CrashDetector", "CrashEvidence", "LostRequest", "WatchedServer"]
 
 from collections import Counter
 from collections.abc import Awaitable, Callable, Iterable
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -31,7 +31,7 @@
         self.view = CacheView()
         self.start = 0
         self.sequence = 0
-        self.late: list[tuple[str, int, list[int]]] = []
+        self.pending: list[tuple[str, int, list[int]]] = []
 
     def name(self) -> str:
         return f"i{self.start}"
@@ -48,12 +48,12 @@
     def emit(self, count: int) -> None:
         self.sequence += 1
         event = (self.name(), self.sequence, self.blocks(self.start)[:count])
-        self.late.append(event)
+        self.pending.append(event)
 
     @rule(which=st.integers(0, 9), lost=st.booleans())
-    def hear(self, which: int, lost: bool) -> None:
-        if self.late:
-            name, number, stored = self.late.pop(which % len(self.late))
+    def receive(self, which: int, lost: bool) -> None:
+        if self.pending:
+            name, number, stored = self.pending.pop(which % len(self.pending))
             if not lost:
                 self.view.note_events(name, number, number, stored, [])
 
@@ -72,19 +72,21 @@
 TestCaches = CacheMachine.TestCase
 
 
-def adopt_and_keep(self: CacheView, incarnation: str) -> bool:
+def adopt_without_clearing(self: CacheView, incarnation: str) -> bool:
     self.incarnation = incarnation
     return True
 
 
-def note_anyones_events(self, incarnation, first, last, stored, removed):
+def apply_events_of_any_incarnation(self, incarnation, first, last, stored, removed):
     self._blocks.update(dict.fromkeys(stored))
     return False
 
 
 MUTANTS = [
-    Mutant("kept over a crash", CacheView, "adopt_incarnation", adopt_and_keep),
-    Mutant("events of the dead", CacheView, "note_events", note_anyones_events),
+    Mutant("kept over a crash", CacheView, "adopt_incarnation", adopt_without_clearing),
+    Mutant(
+        "events of the dead", CacheView, "note_events", apply_events_of_any_incarnation
+    ),
 ]
 
 
@@ -134,7 +136,7 @@
     assert view.match([1, 2, 3]) == 1
 
 
-def test_a_sampled_view_tells_the_deepest_kept_block():
+def test_a_sampled_view_matches_up_to_the_deepest_recorded_block():
     view = CacheView(sample=4)
     view.adopt_incarnation("i")
     view.note_used("i", [3, 4, 5, 8, 9])
--- a/tests/test_gateway_selection.py
+++ b/tests/test_gateway_selection.py
@@ -54,17 +54,17 @@
     assert choose(idle, prompt=make_prompt()) == "b"
 
 
-def test_the_engine_that_has_read_the_shared_parts_is_chosen() -> None:
+def test_the_engine_that_has_cached_the_shared_parts_is_chosen() -> None:
     prompt = make_prompt()
-    reader = make_candidate("a", cached_tokens=2000, load=Load(2))
-    assert choose(reader, make_candidate("b"), prompt=prompt) == "a"
+    cached = make_candidate("a", cached_tokens=2000, load=Load(2))
+    assert choose(cached, make_candidate("b"), prompt=prompt) == "a"
 
 
-def test_a_crowd_at_the_reader_is_worth_a_fetch() -> None:
+def test_a_fetch_avoids_a_busy_engine_that_has_the_prompt_cached() -> None:
     prompt = make_prompt()
-    reader = make_candidate("a", cached_tokens=2000, load=Load(8, 20_000, 9000))
+    cached = make_candidate("a", cached_tokens=2000, load=Load(8, 20_000, 9000))
     other = make_candidate("b", fetch_tokens=2000)
-    assert choose(reader, other, prompt=prompt) == "b"
+    assert choose(cached, other, prompt=prompt) == "b"
 
 
 def test_old_weights_and_failures_count_against_a_server() -> None:
@@ -105,7 +105,7 @@
     )
 
 
-def test_among_few_the_home_is_that_of_the_first_part_not_read() -> None:
+def test_among_few_servers_the_home_is_that_of_the_first_uncached_part() -> None:
     names = [f"s{n}" for n in range(FEW_SERVERS)]
     ranks = [
         find_home_ranks(make_prompt("rules", shop, "own"), "w", names, 1000)
@@ -119,19 +119,23 @@
     assert len({min(r, key=r.get) for r in first}) == 1
 
 
-def test_among_many_prompts_that_begin_alike_have_homes_of_their_own() -> None:
+def test_among_many_servers_prompts_with_a_common_start_have_different_homes() -> None:
     names = [f"s{n}" for n in range(FEW_SERVERS + 1)]
-    for held in (0, 1000):
+    for cached_tokens in (0, 1000):
         ranks = [
             find_home_ranks(
-                make_prompt("rules", f"shop{n}", "own"), "w", names, held, are_few=False
+                make_prompt("rules", f"shop{n}", "own"),
+                "w",
+                names,
+                cached_tokens,
+                are_few=False,
             )
             for n in range(20)
         ]
         assert len({min(r, key=r.get) for r in ranks}) > FEW_SERVERS / 2
 
 
-async def test_among_many_the_home_is_asked_for_what_nobody_is_known_to_hold() -> None:
+async def test_among_many_servers_uncached_parts_are_fetched_from_their_home() -> None:
     servers = [
         make_server(f"s{n}", address=f"127.0.0.1:{n + 1}")
         for n in range(FEW_SERVERS + 4)
@@ -165,7 +169,7 @@
     return make_prompt("rules", "shop", "own", tokens=200)
 
 
-def test_many_servers_are_shared_out_by_the_length_of_prompts() -> None:
+def test_many_servers_are_divided_by_prompt_length() -> None:
     names = [f"s{n}" for n in range(20)]
     short, long = (
         set(select_by_prompt_size(prompt, names))
@@ -182,7 +186,7 @@
     )
 
 
-async def test_long_prompts_leave_the_servers_of_short_ones_alone() -> None:
+async def test_long_prompts_avoid_servers_reserved_for_short_ones() -> None:
     """Pieces of long prompts make pauses in the answers that run beside them."""
     servers = [make_server(f"s{n}") for n in range(20)]
     table = make_table(*servers)
@@ -208,13 +212,13 @@
     assert place.state.info.id not in short
 
 
-def test_what_is_found_need_not_be_read() -> None:
+def test_cached_tokens_add_no_prefill_load() -> None:
     assert make_load(make_demand(make_prompt()), 2000) == Load(1, 1000, 1050, 1)
     resumable = make_demand(make_prompt())._replace(is_resumable=True)
     assert make_load(resumable, 0) == Load(1, 3000, 1050, 0)
 
 
-async def test_a_place_names_where_to_fetch_from_under_the_same_salt() -> None:
+async def test_a_reservation_names_a_fetch_source_with_the_same_salt() -> None:
     prompt = make_prompt()
     table = make_table(make_server("a", address="127.0.0.1:1"), make_server("b"))
     holdings = CacheIndex()
@@ -227,7 +231,7 @@
 
 
 @pytest.mark.parametrize("is_complete", [False, True])
-async def test_who_has_just_started_asks_the_store_for_what_nobody_is_known_to_hold(
+async def test_after_a_start_uncached_parts_are_fetched_from_the_store(
     is_complete: bool,
 ) -> None:
     """All instances had begun anew: 1.8 million shared tokens had no source in 3 s."""
@@ -257,7 +261,7 @@
     assert place.weights_version == 2
 
 
-async def test_the_most_urgent_waiter_gets_the_place(autojump_clock: object) -> None:
+async def test_the_most_urgent_waiter_gets_the_slot(autojump_clock: object) -> None:
     table = make_table(make_server("a", service="plain", slots=2, weights={}))
     places = make_places(table)
     demand = make_demand(service="plain")
@@ -279,14 +283,14 @@
     assert order == [0, 3, 5]
 
 
-async def test_a_wait_ends_with_its_time(autojump_clock: object) -> None:
+async def test_a_wait_for_a_slot_ends_at_its_deadline(autojump_clock: object) -> None:
     places = make_places(make_table())
     started = trio.current_time()
     assert await places.take(make_demand(), 1, started + 0.15) is None
     assert trio.current_time() - started < 0.2
 
 
-async def test_a_cancelled_waiter_leaves_no_place_behind(
+async def test_a_cancelled_waiter_leaves_no_slot_taken(
     autojump_clock: object,
 ) -> None:
     table = make_table(make_server("a", service="plain", slots=2, weights={}))
@@ -313,16 +317,16 @@
 
 
 @pytest.mark.parametrize("is_given_first", [False, True])
-async def test_a_place_given_in_the_step_of_a_cancel_is_not_lost(
+async def test_a_slot_granted_while_its_waiter_is_cancelled_is_not_lost(
     is_given_first: bool,
 ) -> None:
     """A request's caller leaves in the step in which it is given its place."""
     table = make_table(make_server("a", slots=1))
     places = make_places(table)
     now = trio.current_time()
-    held = []
+    granted = []
     while place := await places.take(make_demand(), 1, now):
-        held.append(place)
+        granted.append(place)
     taken: list[Place | None] = []
     caller = trio.CancelScope()
 
@@ -336,9 +340,9 @@
             await trio.lowlevel.checkpoint()
         if not is_given_first:
             caller.cancel()
-        places.give_back(held[0])
+        places.give_back(granted[0])
         assert not places.waiting
         caller.cancel()
     # It was handed over for use, or it is free again.
     assert len(taken) == is_given_first
-    assert table.by_id["a"].load.requests == len(held) - 1 + len(taken)
+    assert table.by_id["a"].load.requests == len(granted) - 1 + len(taken)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -61,7 +61,7 @@
     assert place([*loaded, held]).name == "engine-3"
 
 
-def test_instances_that_hear_of_one_idle_engine_do_not_all_choose_it():
+def test_instances_that_see_the_same_idle_engines_spread_over_them():
     busy = make_report(running=8, waiting=4)
     candidates = [make_candidate(name, report=busy) for name in NAMES[:4]]
     candidates += [make_candidate("idle-1"), make_candidate("idle-2")]
@@ -81,5 +81,5 @@
     assert least.name == "b"
 
 
-def test_nobody_to_choose_from():
+def test_no_engine_is_chosen_without_candidates():
     assert choose_engine([], CHAIN, 1, "north", 0.0, random.Random(1)) is None
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -58,29 +58,31 @@
 NOW = LAST + SETTLING_SECONDS
 
 
-def make_ends(count: int = QUARANTINE_CRASHES, **changes: object) -> list[ServerCrash]:
+def make_crashes(
+    count: int = QUARANTINE_CRASHES, **changes: object
+) -> list[ServerCrash]:
     """Return ends of different servers one after the other, the last one now."""
     return [make_end(f"s{n}", LAST - n * GAP, **changes) for n in range(count)]
 
 
-def make_settled_ends() -> list[ServerCrash]:
+def make_settled_crashes() -> list[ServerCrash]:
     """Return the same of some time ago."""
     return [
-        end._replace(sent_at=end.sent_at - 9.0, crashed_at=end.crashed_at - 9.0)
-        for end in make_ends()
+        crash._replace(sent_at=crash.sent_at - 9.0, crashed_at=crash.crashed_at - 9.0)
+        for crash in make_crashes()
     ]
 
 
-def make_suspicions(*ends: ServerCrash) -> CrashRecords:
-    suspicions = CrashRecords(QUARANTINE_SECONDS)
-    for end in ends:
-        suspicions.note(end, NOW)
-    return suspicions
+def make_records(*crashes: ServerCrash) -> CrashRecords:
+    records = CrashRecords(QUARANTINE_SECONDS)
+    for crash in crashes:
+        records.note(crash, NOW)
+    return records
 
 
-def test_three_ends_make_a_quarantine() -> None:
+def test_three_crashes_quarantine_a_request() -> None:
     standings = [
-        make_suspicions(*make_ends(count)).classify(FINGERPRINT, NOW)
+        make_records(*make_crashes(count)).classify(FINGERPRINT, NOW)
         for count in range(4)
     ]
     assert standings == [
@@ -89,112 +91,116 @@
         QuarantineState.SUSPECTED,
         QuarantineState.QUARANTINED,
     ]
-    assert make_suspicions().classify(None, 0.0) is QuarantineState.FREE
+    assert make_records().classify(None, 0.0) is QuarantineState.FREE
 
 
-def test_an_end_counts_once_however_often_it_is_told() -> None:
-    suspicions = make_suspicions()
+def test_a_crash_counts_once_however_often_it_is_reported() -> None:
+    records = make_records()
     for later in range(20):
-        suspicions.note(make_end("s1"), NOW + later)
-    assert suspicions.count_successive(FINGERPRINT, NOW) == 1
+        records.note(make_end("s1"), NOW + later)
+    assert records.count_successive(FINGERPRINT, NOW) == 1
 
 
-def test_who_knows_no_start_tells_of_the_same_end() -> None:
+def test_reports_with_and_without_a_start_are_the_same_crash() -> None:
     first = make_end("s1", LAST - GAP, started_ms=None)
-    suspicions = make_suspicions(first, make_end("s1"))
-    assert suspicions.count_successive(FINGERPRINT, NOW) == 1
-    assert suspicions.list_servers(FINGERPRINT, NOW) == ["s1"]
+    records = make_records(first, make_end("s1"))
+    assert records.count_successive(FINGERPRINT, NOW) == 1
+    assert records.list_servers(FINGERPRINT, NOW) == ["s1"]
 
 
-def test_starts_of_one_server_count_each() -> None:
-    ends = [make_end("s1", LAST - n * GAP, started_ms=1000 + n) for n in range(3)]
-    suspicions = make_suspicions(*ends)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
+def test_each_start_of_a_server_counts() -> None:
+    crashes = [make_end("s1", LAST - n * GAP, started_ms=1000 + n) for n in range(3)]
+    records = make_records(*crashes)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
 
-def test_servers_that_end_together_were_ended_by_something_else() -> None:
+def test_servers_that_crash_together_quarantine_no_request() -> None:
     # Seen by instances whose clocks differ, some on connections that were idle then.
-    ends = [make_end(f"s{n}", LAST + n * CLOCK_ERROR_SECONDS / 18) for n in range(18)]
-    ends += [e._replace(server_id=f"idle {e.server_id}", sent_at=LAST) for e in ends]
-    suspicions = make_suspicions(*ends)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.SUSPECTED
+    crashes = [
+        make_end(f"s{n}", LAST + n * CLOCK_ERROR_SECONDS / 18) for n in range(18)
+    ]
+    crashes += [
+        e._replace(server_id=f"idle {e.server_id}", sent_at=LAST) for e in crashes
+    ]
+    records = make_records(*crashes)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.SUSPECTED
 
 
-def test_servers_that_end_one_after_the_other_count_however_fast() -> None:
-    ends = [make_end(f"s{n}", LAST - n * 0.1) for n in range(3)]
-    suspicions = make_suspicions(*ends)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
+def test_successive_crashes_count_however_close_they_are() -> None:
+    crashes = [make_end(f"s{n}", LAST - n * 0.1) for n in range(3)]
+    records = make_records(*crashes)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
 
-def test_copies_that_were_sent_before_the_first_end_count_once() -> None:
-    ends = [make_end(f"s{n}", LAST - n, sent_at=LAST - 9.0) for n in range(5)]
-    suspicions = make_suspicions(*ends)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.SUSPECTED
+def test_copies_sent_before_the_first_crash_count_once() -> None:
+    crashes = [make_end(f"s{n}", LAST - n, sent_at=LAST - 9.0) for n in range(5)]
+    records = make_records(*crashes)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.SUSPECTED
 
 
-def test_what_is_answered_is_cleared_and_stays_so() -> None:
-    suspicions = make_suspicions(*make_ends())
-    cleared = suspicions.note_answered(FINGERPRINT, NOW)
-    assert [end.is_cleared for end in cleared] == [True] * QUARANTINE_CRASHES
-    assert not any(suspicions.note(end, 1001.0) for end in make_ends())
-    assert suspicions.classify(FINGERPRINT, 1001.0) is QuarantineState.FREE
-    other = make_suspicions(*make_ends())
-    for end in cleared:
-        assert other.note(end, NOW)
+def test_an_answered_request_stays_cleared() -> None:
+    records = make_records(*make_crashes())
+    cleared = records.note_answered(FINGERPRINT, NOW)
+    assert [crash.is_cleared for crash in cleared] == [True] * QUARANTINE_CRASHES
+    assert not any(records.note(crash, 1001.0) for crash in make_crashes())
+    assert records.classify(FINGERPRINT, 1001.0) is QuarantineState.FREE
+    other = make_records(*make_crashes())
+    for crash in cleared:
+        assert other.note(crash, NOW)
     assert other.classify(FINGERPRINT, NOW) is QuarantineState.FREE
 
 
-def test_an_end_is_forgotten_however_often_it_is_told() -> None:
-    suspicions = make_suspicions(*make_ends())
+def test_a_crash_expires_however_often_it_is_reported() -> None:
+    records = make_records(*make_crashes())
     for passed in range(0, 700, 50):
-        for end in suspicions.list_most_suspect(NOW + passed):
-            suspicions.note(end, NOW + passed)
+        for crash in records.list_most_suspect(NOW + passed):
+            records.note(crash, NOW + passed)
     now = NOW + QUARANTINE_SECONDS
-    assert suspicions.classify(FINGERPRINT, now) is QuarantineState.FREE
-    assert not suspicions.note(make_end(), now)
-    assert suspicions.list_fingerprints() == {FINGERPRINT}
-    suspicions.expire(now)
-    assert not suspicions.list_fingerprints()
+    assert records.classify(FINGERPRINT, now) is QuarantineState.FREE
+    assert not records.note(make_end(), now)
+    assert records.list_fingerprints() == {FINGERPRINT}
+    records.expire(now)
+    assert not records.list_fingerprints()
 
 
-def test_an_end_of_a_clock_that_was_set_anew_does_not_stay_for_ever() -> None:
-    suspicions = make_suspicions(*make_ends())
-    assert suspicions.classify(FINGERPRINT, 10.0) is QuarantineState.FREE
-    assert not suspicions.note(make_end(at=NOW * 2), NOW)
+def test_a_crash_dated_by_a_reset_clock_expires() -> None:
+    records = make_records(*make_crashes())
+    assert records.classify(FINGERPRINT, 10.0) is QuarantineState.FREE
+    assert not records.note(make_end(at=NOW * 2), NOW)
 
 
-def test_a_request_may_be_tried_once_more_when_its_first_end_is_forgotten() -> None:
-    suspicions = make_suspicions(*make_ends())
+def test_a_request_may_be_tried_once_more_when_its_first_crash_expires() -> None:
+    records = make_records(*make_crashes())
     now = LAST + QUARANTINE_SECONDS - GAP * 1.5
-    assert suspicions.classify(FINGERPRINT, now) is QuarantineState.SUSPECTED
-    suspicions.note(make_end("s9", now), now)
-    assert suspicions.classify(FINGERPRINT, now) is QuarantineState.HELD
+    assert records.classify(FINGERPRINT, now) is QuarantineState.SUSPECTED
+    records.note(make_end("s9", now), now)
+    assert records.classify(FINGERPRINT, now) is QuarantineState.HELD
     now += SETTLING_SECONDS
-    suspicions = make_suspicions()
-    for end in [*make_ends(2), make_end("s9", LAST + 1)]:
-        suspicions.note(end, LAST + 1)
+    records = make_records()
+    for crash in [*make_crashes(2), make_end("s9", LAST + 1)]:
+        records.note(crash, LAST + 1)
     now = LAST + 1 + SETTLING_SECONDS
-    assert suspicions.classify(FINGERPRINT, now) is QuarantineState.QUARANTINED
+    assert records.classify(FINGERPRINT, now) is QuarantineState.QUARANTINED
 
 
-def test_other_bodies_push_out_nothing_that_is_quarantined() -> None:
-    suspicions = make_suspicions(*make_ends())
+def test_other_bodies_evict_no_quarantined_request() -> None:
+    records = make_records(*make_crashes())
     for number in range(MAX_REQUESTS * 3):
-        suspicions.note(make_end(fingerprint=f"{number:024x}"), NOW)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
-    assert len(suspicions.list_fingerprints()) == MAX_REQUESTS
+        records.note(make_end(fingerprint=f"{number:024x}"), NOW)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
+    assert len(records.list_fingerprints()) == MAX_REQUESTS
 
 
-def test_ends_of_one_moment_push_out_no_other() -> None:
-    suspicions = make_suspicions()
+def test_simultaneous_crashes_evict_no_others() -> None:
+    records = make_records()
     for number in range(MAX_CRASHES * 2):
-        suspicions.note(make_end(f"h{number}", LAST - 2 * GAP), NOW)
-    suspicions.note(make_end("s1", LAST - GAP), NOW)
-    suspicions.note(make_end("s2"), NOW)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
+        records.note(make_end(f"h{number}", LAST - 2 * GAP), NOW)
+    records.note(make_end("s1", LAST - GAP), NOW)
+    records.note(make_end("s2"), NOW)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
 
-ENDS = st.lists(
+CRASHES = st.lists(
     st.builds(
         ServerCrash,
         st.just(FINGERPRINT),
@@ -208,14 +214,14 @@
 )
 
 
-@given(ends=ENDS, seed=st.integers(0, 1000))
+@given(crashes=CRASHES, seed=st.integers(0, 1000))
 def test_the_order_and_number_of_messages_make_no_difference(
-    ends: list[ServerCrash], seed: int
+    crashes: list[ServerCrash], seed: int
 ) -> None:
     rng = random.Random(seed)
-    doubled = ends * 2
-    rng.shuffle(doubled)
-    one, other = make_suspicions(*ends), make_suspicions(*doubled)
+    duplicated = crashes * 2
+    rng.shuffle(duplicated)
+    one, other = make_records(*crashes), make_records(*duplicated)
     assert one.count_successive(FINGERPRINT, NOW) == other.count_successive(
         FINGERPRINT, NOW
     )
@@ -233,90 +239,90 @@
     return LostRequest(fingerprint, state.watched, now - 0.05, now)
 
 
-async def end_three_servers(quarantine: Quarantine) -> None:
+async def crash_three_servers(quarantine: Quarantine) -> None:
     for server_id in ("a", "b", "c"):
         quarantine.note_lost(make_lost(server_id))
         await trio.sleep(GAP)
 
 
-class Heard:
+class CrashRecorder:
     def __init__(self) -> None:
-        self.ends: list[ServerCrash] = []
-        self.quarantine = make_quarantine(tell=self.ends.extend)
+        self.crashes: list[ServerCrash] = []
+        self.quarantine = make_quarantine(tell=self.crashes.extend)
 
-    def take_names(self) -> list[str]:
-        names = [end.server_id for end in self.ends]
-        self.ends.clear()
+    def take_server_ids(self) -> list[str]:
+        names = [crash.server_id for crash in self.crashes]
+        self.crashes.clear()
         return names
 
 
-async def test_an_end_is_told_once_its_call_got_no_answer(
+async def test_a_crash_is_reported_once_its_call_fails(
     autojump_clock: object,
 ) -> None:
-    heard = Heard()
-    async with heard.quarantine.take_part(FINGERPRINT):
-        heard.quarantine.note_lost(make_lost("a"))
-        assert heard.take_names() == []
-    assert heard.take_names() == ["a"]
+    recorder = CrashRecorder()
+    async with recorder.quarantine.take_part(FINGERPRINT):
+        recorder.quarantine.note_lost(make_lost("a"))
+        assert recorder.take_server_ids() == []
+    assert recorder.take_server_ids() == ["a"]
 
 
-async def test_what_the_next_server_answers_is_told_to_nobody(
+async def test_a_crash_is_not_reported_if_the_next_server_answers(
     autojump_clock: object,
 ) -> None:
-    heard = Heard()
-    async with heard.quarantine.take_part(FINGERPRINT):
-        heard.quarantine.note_lost(make_lost("a"))
-        heard.quarantine.note_answered(FINGERPRINT)
-    assert heard.take_names() == []
+    recorder = CrashRecorder()
+    async with recorder.quarantine.take_part(FINGERPRINT):
+        recorder.quarantine.note_lost(make_lost("a"))
+        recorder.quarantine.note_answered(FINGERPRINT)
+    assert recorder.take_server_ids() == []
 
 
-async def test_a_second_end_is_told_at_once(autojump_clock: object) -> None:
-    heard = Heard()
-    async with heard.quarantine.take_part(FINGERPRINT):
-        heard.quarantine.note_lost(make_lost("a"))
+async def test_a_second_crash_is_reported_at_once(autojump_clock: object) -> None:
+    recorder = CrashRecorder()
+    async with recorder.quarantine.take_part(FINGERPRINT):
+        recorder.quarantine.note_lost(make_lost("a"))
         await trio.sleep(GAP)
-        heard.quarantine.note_lost(make_lost("b"))
-        assert sorted(heard.take_names()) == ["a", "b"]
+        recorder.quarantine.note_lost(make_lost("b"))
+        assert sorted(recorder.take_server_ids()) == ["a", "b"]
 
 
-async def test_an_end_that_is_proved_after_its_call_is_told(
+async def test_a_crash_confirmed_after_its_call_is_reported(
     autojump_clock: object,
 ) -> None:
-    heard = Heard()
-    async with heard.quarantine.take_part(FINGERPRINT):
+    recorder = CrashRecorder()
+    async with recorder.quarantine.take_part(FINGERPRINT):
         pass
-    heard.quarantine.note_lost(make_lost("a"))
-    assert heard.take_names() == ["a"]
+    recorder.quarantine.note_lost(make_lost("a"))
+    assert recorder.take_server_ids() == ["a"]
 
 
-async def test_other_bodies_do_not_fill_the_news(autojump_clock: object) -> None:
-    heard = Heard()
+async def test_other_bodies_do_not_flood_the_peers(autojump_clock: object) -> None:
+    recorder = CrashRecorder()
     for number in range(MAX_SINGLES * 10):
-        heard.quarantine.note_lost(make_lost("a", f"{number:024x}"))
-    assert len(heard.take_names()) == MAX_SINGLES
+        recorder.quarantine.note_lost(make_lost("a", f"{number:024x}"))
+    assert len(recorder.take_server_ids()) == MAX_SINGLES
     await trio.sleep(SINGLES_SECONDS)
-    heard.quarantine.note_lost(make_lost("b", "e" * 24))
-    assert heard.take_names() == ["b"]
+    recorder.quarantine.note_lost(make_lost("b", "e" * 24))
+    assert recorder.take_server_ids() == ["b"]
 
 
-async def test_what_was_answered_here_a_moment_ago_is_cleared_for_all(
+async def test_a_recent_answer_here_clears_a_request_for_all(
     autojump_clock: object,
 ) -> None:
-    heard = Heard()
-    heard.quarantine.note_answered(FINGERPRINT)
+    recorder = CrashRecorder()
+    recorder.quarantine.note_answered(FINGERPRINT)
     await trio.sleep(ANSWERED_SECONDS / 2)
-    heard.quarantine.take_told(make_ends(), "peer")
-    assert heard.quarantine.judge(FINGERPRINT) is QuarantineState.FREE
-    assert all(end.is_cleared for end in heard.ends)
-    assert len(heard.ends) == QUARANTINE_CRASHES
+    recorder.quarantine.take_told(make_crashes(), "peer")
+    assert recorder.quarantine.judge(FINGERPRINT) is QuarantineState.FREE
+    assert all(crash.is_cleared for crash in recorder.crashes)
+    assert len(recorder.crashes) == QUARANTINE_CRASHES
 
 
-async def test_what_was_answered_long_ago_is_not(autojump_clock: object) -> None:
-    heard = Heard()
-    heard.quarantine.note_answered(FINGERPRINT)
+async def test_an_old_answer_does_not_clear_a_request(autojump_clock: object) -> None:
+    recorder = CrashRecorder()
+    recorder.quarantine.note_answered(FINGERPRINT)
     await trio.sleep(ANSWERED_SECONDS * 1.1)
-    heard.quarantine.take_told(make_ends(), "peer")
-    assert heard.quarantine.judge(FINGERPRINT) is QuarantineState.QUARANTINED
+    recorder.quarantine.take_told(make_crashes(), "peer")
+    assert recorder.quarantine.judge(FINGERPRINT) is QuarantineState.QUARANTINED
 
 
 async def take(quarantine: Quarantine, seconds: float, turns: list[Turn]) -> None:
@@ -330,7 +336,7 @@
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     turns: list[Turn] = []
     for _ in range(3):
         nursery.start_soon(take, quarantine, 0.7, turns)
@@ -343,9 +349,9 @@
     assert turns[2] is Turn.BUSY
 
 
-async def test_who_is_refused_holds_nobody_up(autojump_clock: object) -> None:
+async def test_a_refused_attempt_blocks_no_other(autojump_clock: object) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     now = trio.current_time()
     async with (
         quarantine.take_turn(FINGERPRINT, now) as first,
@@ -365,7 +371,7 @@
 
     async def suspect() -> None:
         await trio.sleep(0.05)
-        quarantine.take_told(make_ends(1), "peer")
+        quarantine.take_told(make_crashes(1), "peer")
         async with quarantine.take_turn(FINGERPRINT, 0.0):
             await trio.sleep(0.6)
             quarantine.note_answered(FINGERPRINT)
@@ -380,11 +386,11 @@
     assert bench.reply.body.getvalue().count(b"data") == 2
 
 
-async def test_all_that_wait_are_free_once_one_is_answered(
+async def test_all_waiting_attempts_are_free_once_one_is_answered(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     turns: list[Turn] = []
     for _ in range(3):
         nursery.start_soon(take, quarantine, 0.5, turns)
@@ -394,50 +400,50 @@
     assert turns == [Turn.ALONE, Turn.FREE, Turn.FREE]
 
 
-async def test_those_that_wait_are_refused_with_the_third_end(
+async def test_waiting_attempts_are_refused_at_the_third_crash(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     turns: list[Turn] = []
     for _ in range(2):
         nursery.start_soon(take, quarantine, 0.5, turns)
     await trio.sleep(0.2)
-    quarantine.take_told(make_settled_ends(), "peer")
+    quarantine.take_told(make_settled_crashes(), "peer")
     await trio.sleep(0.01)
     assert turns == [Turn.ALONE, Turn.QUARANTINED]
 
 
 def make_contested(count: int) -> list[ServerCrash]:
     """Return ends of two requests that were in flight at the same ones."""
-    other = make_ends(count, fingerprint="0" * 24)
-    return make_ends(count) + other
+    other = make_crashes(count, fingerprint="0" * 24)
+    return make_crashes(count) + other
 
 
-def test_two_requests_at_the_same_ends_are_contested() -> None:
-    suspicions = make_suspicions(*make_contested(QUARANTINE_CRASHES))
+def test_two_requests_at_the_same_crashes_are_contested() -> None:
+    records = make_records(*make_contested(QUARANTINE_CRASHES))
     for name in (FINGERPRINT, "0" * 24):
-        assert suspicions.classify(name, LAST) is QuarantineState.HELD
-        assert suspicions.classify(name, NOW) is QuarantineState.CONTESTED
+        assert records.classify(name, LAST) is QuarantineState.HELD
+        assert records.classify(name, NOW) is QuarantineState.CONTESTED
 
 
-def test_one_more_end_tells_two_requests_apart() -> None:
-    suspicions = make_suspicions(*make_contested(QUARANTINE_CRASHES))
-    suspicions.note(make_end("s9", LAST + 0.2), NOW)
-    assert suspicions.classify(FINGERPRINT, NOW + 0.2) is QuarantineState.QUARANTINED
-    assert suspicions.classify("0" * 24, NOW + 0.2) is QuarantineState.FREE
+def test_one_more_crash_shows_which_request_is_the_cause() -> None:
+    records = make_records(*make_contested(QUARANTINE_CRASHES))
+    records.note(make_end("s9", LAST + 0.2), NOW)
+    assert records.classify(FINGERPRINT, NOW + 0.2) is QuarantineState.QUARANTINED
+    assert records.classify("0" * 24, NOW + 0.2) is QuarantineState.FREE
 
 
-def test_an_answer_tells_two_requests_apart() -> None:
-    suspicions = make_suspicions(*make_contested(QUARANTINE_CRASHES))
-    suspicions.note_answered("0" * 24, NOW)
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
-    assert suspicions.classify("0" * 24, NOW) is QuarantineState.FREE
+def test_an_answer_shows_which_request_is_the_cause() -> None:
+    records = make_records(*make_contested(QUARANTINE_CRASHES))
+    records.note_answered("0" * 24, NOW)
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
+    assert records.classify("0" * 24, NOW) is QuarantineState.FREE
 
 
-def test_what_cannot_be_told_apart_is_quarantined_in_the_end() -> None:
-    suspicions = make_suspicions(*make_contested(CONTESTED_CRASHES))
-    assert suspicions.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
+def test_contested_requests_are_quarantined_after_five_crashes() -> None:
+    records = make_records(*make_contested(CONTESTED_CRASHES))
+    assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
 
 async def test_one_instance_alone_tries_a_contested_request(
@@ -460,51 +466,53 @@
     assert sorted(turns, key=str) == [Turn.ALONE] + [Turn.BUSY] * 5
 
 
-async def test_an_operator_lets_a_request_be_sent_again(
+async def test_an_operator_clears_a_request(
     autojump_clock: object,
 ) -> None:
-    heard = Heard()
-    heard.quarantine.take_told(make_ends(), "peer")
-    assert heard.quarantine.clear(FINGERPRINT)
-    assert heard.quarantine.judge(FINGERPRINT) is QuarantineState.FREE
-    assert [end.is_cleared for end in heard.ends] == [True] * QUARANTINE_CRASHES
-    assert not heard.quarantine.clear(FINGERPRINT)
+    recorder = CrashRecorder()
+    recorder.quarantine.take_told(make_crashes(), "peer")
+    assert recorder.quarantine.clear(FINGERPRINT)
+    assert recorder.quarantine.judge(FINGERPRINT) is QuarantineState.FREE
+    assert [crash.is_cleared for crash in recorder.crashes] == [
+        True
+    ] * QUARANTINE_CRASHES
+    assert not recorder.quarantine.clear(FINGERPRINT)
 
 
-DAMAGED_END = b'{"ends":[{"server":"","born":1,"sent_at":1.0,"ended_at":1.0}]}'
+DAMAGED_CRASH = b'{"ends":[{"server":"","born":1,"sent_at":1.0,"ended_at":1.0}]}'
 
 
-async def test_the_store_keeps_it_when_all_instances_have_ended(
+async def test_the_store_keeps_a_quarantine_while_all_instances_are_down(
     autojump_clock: object,
 ) -> None:
     store = MemoryStore()
     async with trio.open_nursery() as nursery:
         quarantine = make_quarantine(store=store)
         nursery.start_soon(quarantine.run)
-        await end_three_servers(quarantine)
+        await crash_three_servers(quarantine)
         nursery.cancel_scope.cancel()
     assert [key for table, key in store.rows if table == QUARANTINE_TABLE]
     async with trio.open_nursery() as nursery:
-        heard = Heard()
-        other = make_quarantine(store=store, tell=heard.ends.extend)
+        recorder = CrashRecorder()
+        other = make_quarantine(store=store, tell=recorder.crashes.extend)
         nursery.start_soon(other.run)
         await trio.sleep(3.0)
         assert other.judge(FINGERPRINT) is QuarantineState.QUARANTINED
         # Those that do not ask the store are told.
-        assert sorted(heard.take_names()) == ["a", "b", "c"]
+        assert sorted(recorder.take_server_ids()) == ["a", "b", "c"]
         other.clear(FINGERPRINT)
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     assert not [key for table, key in store.rows if table == QUARANTINE_TABLE]
 
 
-@pytest.mark.parametrize("value", [b"", b"[]", b"{}", DAMAGED_END, b"\xff"])
-async def test_a_damaged_row_is_passed_over(
+@pytest.mark.parametrize("value", [b"", b"[]", b"{}", DAMAGED_CRASH, b"\xff"])
+async def test_a_damaged_row_is_skipped(
     value: bytes, autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     store = MemoryStore()
     store.put(QUARANTINE_TABLE, "0" * 24, value)
-    good = encode_row(FINGERPRINT, make_ends())
+    good = encode_row(FINGERPRINT, make_crashes())
     store.put(QUARANTINE_TABLE, FINGERPRINT, good.value)
     store.put(QUARANTINE_TABLE, "no fingerprint", good.value)
     quarantine = make_quarantine(store=store)
@@ -513,12 +521,14 @@
     assert quarantine.suspicions.list_fingerprints() == {FINGERPRINT}
 
 
-async def test_a_row_that_counts_no_more_is_removed(
+async def test_an_expired_row_is_removed(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     store = MemoryStore()
     store.clock_offset = 10 * QUARANTINE_SECONDS
-    store.put(QUARANTINE_TABLE, FINGERPRINT, encode_row(FINGERPRINT, make_ends()).value)
+    store.put(
+        QUARANTINE_TABLE, FINGERPRINT, encode_row(FINGERPRINT, make_crashes()).value
+    )
     nursery.start_soon(make_quarantine(store=store).run)
     await trio.sleep(3.0)
     assert not [key for table, key in store.rows if table == QUARANTINE_TABLE]
@@ -527,11 +537,11 @@
 # What becomes of a call.
 
 
-async def test_a_quarantined_request_is_refused_at_once_for_good(
+async def test_a_quarantined_request_is_refused_at_once_and_permanently(
     autojump_clock: object,
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_settled_ends(), "peer")
+    quarantine.take_told(make_settled_crashes(), "peer")
     begun_at = trio.current_time()
     bench = await run_call(Answer(), quarantine=quarantine)
     assert bench.reply.status == 400
@@ -540,27 +550,29 @@
     assert trio.current_time() == begun_at
 
 
-async def test_a_request_whose_case_has_not_settled_may_come_again(
+async def test_a_held_request_is_refused_with_a_retry_time(
     autojump_clock: object,
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(), "peer")
+    quarantine.take_told(make_crashes(), "peer")
     bench = await run_call(Answer(), quarantine=quarantine)
     assert bench.reply.status == 503
     assert bench.reply.get(b"retry-after") is not None
     assert not bench.pool.requests
 
 
-async def test_another_request_is_served_beside_it(autojump_clock: object) -> None:
+async def test_other_requests_are_served_during_a_quarantine(
+    autojump_clock: object,
+) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(fingerprint="0" * 24), "peer")
+    quarantine.take_told(make_crashes(fingerprint="0" * 24), "peer")
     bench = await run_call(Answer(), quarantine=quarantine)
     assert bench.reply.status == 200
 
 
 async def test_a_suspected_request_has_one_attempt(autojump_clock: object) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     bench = await run_call(BROKEN, Answer(), quarantine=quarantine)
     assert len(bench.pool.requests) == 1
     assert bench.reply.status == 502
@@ -570,18 +582,18 @@
     autojump_clock: object,
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     refused = Answer(503, (), ((b"x-not-executed", b"1"),))
     bench = await run_call(refused, Answer(), quarantine=quarantine)
     assert bench.reply.status == 200
     assert quarantine.judge(FINGERPRINT) is QuarantineState.FREE
 
 
-async def test_a_suspected_request_goes_where_it_does_least_harm(
+async def test_a_suspected_request_goes_to_the_least_loaded_server(
     autojump_clock: object,
 ) -> None:
     quarantine = make_quarantine()
-    quarantine.take_told(make_ends(1), "peer")
+    quarantine.take_told(make_crashes(1), "peer")
     # The idlest one is cold and in another failure domain: slower, if anything.
     table = make_table(
         make_server("a"), make_server("b", failure_domain="south", cold_seconds=60.0)
@@ -596,7 +608,7 @@
     assert [server for server, _ in plain.pool.requests] == ["a"]
 
 
-async def test_a_stream_is_broken_off_once_it_is_known_to_end_servers(
+async def test_a_stream_is_aborted_once_its_request_is_quarantined(
     autojump_clock: object,
 ) -> None:
     quarantine = make_quarantine()
@@ -605,7 +617,7 @@
     def learn(table: ServerTable, knowledge: Knowledge) -> None:
         async def tell() -> None:
             await trio.sleep(0.05)
-            quarantine.take_told(make_settled_ends(), "peer")
+            quarantine.take_told(make_settled_crashes(), "peer")
 
         nursery.start_soon(tell)
 
@@ -625,14 +637,14 @@
 
 
 @given(
-    st.binary(max_size=80) | damage(orjson.loads(encode_row("f", make_ends()).value))
+    st.binary(max_size=80) | damage(orjson.loads(encode_row("f", make_crashes()).value))
 )
 def test_no_row_raises_or_is_used_in_part(value: bytes) -> None:
     found = decode_row(Row(QUARANTINE_TABLE, FINGERPRINT, value, 1))
     if isinstance(found, InvalidRow):
         return
-    for end in found:
-        assert msgspec.convert(tuple(end), ServerCrash) == end
+    for crash in found:
+        assert msgspec.convert(tuple(crash), ServerCrash) == crash
 
 
 @given(
@@ -640,19 +652,19 @@
         st.lists(st.none() | st.booleans() | st.integers() | st.text(), max_size=7)
     )
 )
-def test_no_news_of_ends_raise_anything_else_or_are_used_in_part(
-    ends: list[list[object]],
+def test_crash_updates_raise_only_frame_errors_and_are_not_used_in_part(
+    crashes: list[list[object]],
 ) -> None:
-    whole = list(make_end())
-    for told in (ends, [whole, *ends], [whole[:-1]], [[*whole, 1]]):
+    complete = list(make_end())
+    for told in (crashes, [complete, *crashes], [complete[:-1]], [[*complete, 1]]):
         try:
             _, found = decode_ends(ServerEndNews("i", "own", told))
         except FrameError:
             continue
-        assert [list(end) for end in found] == told
+        assert [list(crash) for crash in found] == told
 
 
 @given(st.binary(max_size=40))
-def test_no_era_raises(value: bytes) -> None:
+def test_parsing_an_era_never_raises(value: bytes) -> None:
     era = parse_era([(b"store-era", value)])
     assert era is None or 0 <= era < 10**9
--- a/tests/test_ratelimits.py
+++ b/tests/test_ratelimits.py
@@ -17,12 +17,12 @@
 )
 
 
-def test_a_lower_limit_holds_at_once() -> None:
+def test_a_lower_limit_applies_at_once() -> None:
     known = RateLimit(5.0, 10.0)
     assert update_limit(known, 2.0, sent_at=1.0, now=11.0) == RateLimit(2.0, 11.0)
 
 
-def test_an_older_answer_that_is_read_last_raises_and_lifts_no_limit() -> None:
+def test_an_older_answer_read_later_neither_raises_nor_lifts_a_limit() -> None:
     known = RateLimit(2.0, 10.0)
     for rate in (5.0, None):
         assert update_limit(known, rate, sent_at=9.9, now=11.0) == known
@@ -46,7 +46,7 @@
         max_size=12,
     )
 )
-def test_no_limit_above_a_current_one_is_ever_believed(
+def test_earlier_answers_never_raise_a_lowered_limit(
     answers: list[tuple[float, float | None, float]],
 ) -> None:
     """A server lowers its limit at 10 s: whatever was sent before changes nothing."""
@@ -59,13 +59,13 @@
         assert known.rate <= 1.0
 
 
-def test_a_peers_word_of_a_limit_that_an_answer_here_has_lifted_since() -> None:
+def test_a_peers_notice_older_than_an_answer_here_sets_no_limit() -> None:
     known = RateLimit(None, 10.0)
     assert update_limit_from_peer(known, 2.0, age=0.6, now=10.5) == known
     assert update_limit_from_peer(known, 2.0, age=0.4, now=10.5) == RateLimit(2.0, 10.5)
 
 
-def test_a_peers_word_lifts_a_limit_only_if_it_is_surely_later() -> None:
+def test_a_peers_notice_lifts_a_limit_only_if_it_is_surely_later() -> None:
     known = RateLimit(2.0, 10.0)
     assert update_limit_from_peer(known, None, age=0.0, now=10.9) == known
     assert update_limit_from_peer(known, None, age=0.0, now=11.1) == RateLimit(
@@ -74,12 +74,14 @@
 
 
 @given(st.floats(0, 1e6), st.integers(1, 1000), st.floats(0, 1))
-def test_pauses_end(retry_after: float, refusals: int, draw: float) -> None:
+def test_pauses_between_permit_requests_are_bounded(
+    retry_after: float, refusals: int, draw: float
+) -> None:
     assert 0 < plan_pause(retry_after, refusals, draw) <= MAX_PAUSE_SECONDS
 
 
 @given(st.floats(0, 1e18))
-def test_no_window_of_grants_is_over_the_bound(rate: float) -> None:
+def test_no_window_of_permits_exceeds_the_bound(rate: float) -> None:
     """What is earned and saved, and the steps of time, stay below it together."""
     allowance = make_allowance(rate)
     pace = plan_pace(allowance, SERVER_BOUNDS)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -29,7 +29,7 @@
     return decide_retry(outcome, **(values | changes))
 
 
-def test_what_may_have_run_is_repeated_only_if_it_may_be():
+def test_an_attempt_that_may_have_run_is_retried_only_if_repeatable():
     assert isinstance(retry(MaybeRun("x")), RetryAfter)
     assert isinstance(retry(MaybeRun("x"), repeatable=False), GiveUp)
     assert isinstance(retry(NotRun("x"), repeatable=False), RetryAfter)
@@ -55,7 +55,7 @@
 
 
 @given(events=failures, draining=st.sets(st.sampled_from(NAMES)))
-def test_never_ejects_all_but_always_leaves_who_drains(events, draining):
+def test_never_ejects_all_servers_but_always_excludes_draining_ones(events, draining):
     health = {name: ServerHealth(0.0) for name in NAMES}
     for name, refused in events:
         health[name].note_failure(1.0, refused=refused)
@@ -66,7 +66,7 @@
     assert usable or len(draining) == len(NAMES)
 
 
-def test_an_ejected_server_gets_one_probe_and_comes_back():
+def test_an_ejected_server_gets_one_probe_and_is_readmitted():
     state = ServerHealth(0.0)
     assert state.note_failure(0.0, refused=True)
     assert not state.is_usable(0.5)
@@ -77,13 +77,13 @@
     assert state.is_usable(1.6)
 
 
-def test_a_silent_server_gets_no_work():
+def test_a_server_that_does_not_report_gets_no_requests():
     state = ServerHealth(0.0)
     assert state.is_usable(2.9)
     assert not state.is_usable(3.1)
 
 
-def test_limits_are_shared_by_demand_and_fall_back_to_the_even_part():
+def test_limits_are_shared_by_demand_and_fall_back_to_the_even_share():
     assert share_limit(100, 30, [10, 0], 3) == pytest.approx(100 / 6 + 37.5)
     assert share_limit(100, 30, [], 4) == 25
     shares = [
@@ -92,7 +92,7 @@
     assert sum(shares) == pytest.approx(100)
 
 
-def test_a_bucket_says_when_to_come_back():
+def test_a_token_bucket_returns_when_to_retry():
     bucket = TokenBucket(rate=2.0, burst_seconds=1.0, now=0.0)
     assert [bucket.take(0.0) for _ in range(3)] == [0.0, 0.0, 0.5]
     assert bucket.take(0.5) == 0.0
@@ -139,7 +139,7 @@
 
 
 @given(size=st.integers(2, 60), rounds=st.just(14), seed=st.integers(0, 9))
-def test_a_fact_reaches_everyone_over_three_links(size, rounds, seed):
+def test_a_fact_reaches_all_members_over_three_links(size, rounds, seed):
     names = [f"10.0.0.{n}:7" for n in range(size)]
     tables = {name: FactTable(name) for name in names}
     tables[names[0]].put(Fact(names[0], 1, 1, {"x": 1}), 0.0)
@@ -160,22 +160,22 @@
 )
 
 
-@given(told=st.lists(facts, min_size=1))
-def test_the_newest_fact_wins_in_any_order(told):
+@given(received=st.lists(facts, min_size=1))
+def test_the_newest_fact_wins_in_any_order(received):
     table = FactTable("me")
-    for fact in told:
+    for fact in received:
         table.put(fact, 0.0)
     newest = table.get("o")
     assert newest is not None
-    assert newest.order == max(fact.order for fact in told)
+    assert newest.order == max(fact.order for fact in received)
 
 
-def test_watchers_are_the_same_wherever_asked():
+def test_all_members_choose_the_same_watchers():
     members = [f"m{n}" for n in range(9)]
     assert choose_watchers("e", members, 2) == choose_watchers("e", members[::-1], 2)
 
 
-def test_a_departed_member_leaves_nothing_behind():
+def test_a_departed_member_leaves_no_state():
     table = FactTable("me")
     for number in range(50):
         origin = f"10.0.0.{number}:7"
@@ -197,7 +197,7 @@
     assert coarsen_counts(coarse, minutes) == coarse
 
 
-def test_burn_of_two_windows_pages():
+def test_a_burn_rate_over_two_windows_pages():
     buckets = {("s", "t", 1000 - n): Counts(100, 80, 80) for n in range(60)}
     rows = judge_burn(buckets, {"s": {"answered": 0.99}}, 1000 * 60.0)
     assert rows[0].rates["5m"] == pytest.approx(20)
@@ -205,7 +205,7 @@
     assert rows[0].budget_left < 0
 
 
-def test_a_server_in_a_backoff_is_left_out_though_all_others_look_bad():
+def test_a_server_in_a_backoff_is_excluded_though_all_others_fail():
     health = {name: ServerHealth(0.0) for name in NAMES}
     health[NAMES[0]].note_backoff(1.0, 3.0)
     health[NAMES[0]].note_backoff(1.0, 1.0)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -57,7 +57,7 @@
     return [number for number in range(1, LENGTH + 1) if number != gap]
 
 
-sends = st.builds(
+responses = st.builds(
     FakeResponse,
     numbers=st.one_of(
         st.just(list(range(1, LENGTH + 1))),
@@ -71,9 +71,9 @@
 
 @settings(max_examples=500)
 @given(
-    first=sends,
-    more=st.lists(sends, min_size=1, max_size=4)
-    | st.lists(st.one_of(sends, st.none()), max_size=4),
+    first=responses,
+    more=st.lists(responses, min_size=1, max_size=4)
+    | st.lists(st.one_of(responses, st.none()), max_size=4),
 )
 async def test_a_stream_is_whole_or_ends_in_an_error(first, more):
     rest = list(more)
@@ -100,7 +100,7 @@
         assert events == WHOLE
 
 
-async def test_a_stream_goes_on_with_the_engine_that_has_it_now():
+async def test_a_stream_resumes_at_its_current_engine():
     asked: list[str] = []
     others = [("b:1", [3, 4]), ("b:1", [5, 6])]
 
@@ -131,7 +131,7 @@
         await trio.sleep_forever()
 
 
-class KeptAnswers:
+class RecordedClaims:
     """The part of the claims that a stream's end is told to."""
 
     def __init__(self) -> None:
@@ -148,9 +148,11 @@
         self.released += 1
 
 
-async def read_and_leave(numbers: list[int], *, reads_on: bool) -> tuple[Any, list]:
+async def read_and_disconnect(
+    numbers: list[int], *, reads_to_end: bool
+) -> tuple[Any, list]:
     """Return what was kept of a claimed stream, and which streams were cancelled."""
-    claims: Any = KeptAnswers()
+    claims: Any = RecordedClaims()
     cancelled: list[EngineAnswer] = []
 
     async def reopen(_: EngineAnswer, plan: Continue) -> EngineAnswer | None:
@@ -169,35 +171,37 @@
     reply: Any = await claim_once(make_call(idempotency_key="k1"), answer)
     with trio.CancelScope() as caller:
         async for _ in reply.body:
-            if not reads_on:
+            if not reads_to_end:
                 break
             caller.cancel()
     await reply.body.aclose()
     return claims, cancelled
 
 
-@pytest.mark.parametrize("reads_on", [False, True])
-async def test_a_whole_stream_is_kept_though_the_caller_leaves(reads_on: bool) -> None:
+@pytest.mark.parametrize("reads_to_end", [False, True])
+async def test_a_complete_stream_is_kept_though_the_client_disconnects(
+    reads_to_end: bool,
+) -> None:
     """A caller has the end event and leaves before the engine ends its connection.
 
     Evidence: looked for after answers were lost as a connection closed; a stream that
     was whole was not kept, so its repeat was refused as of unknown outcome.
     """
     numbers = list(range(1, LENGTH + 1))
-    claims, cancelled = await read_and_leave(numbers, reads_on=reads_on)
+    claims, cancelled = await read_and_disconnect(numbers, reads_to_end=reads_to_end)
     assert len(claims.kept) == 1
     assert claims.kept[0].endswith(WHOLE)
     assert not cancelled
 
 
-@pytest.mark.parametrize("reads_on", [False, True])
-async def test_a_stream_that_is_not_whole_is_not_kept(reads_on: bool) -> None:
-    claims, cancelled = await read_and_leave([1, 2, 3], reads_on=reads_on)
+@pytest.mark.parametrize("reads_to_end", [False, True])
+async def test_an_incomplete_stream_is_not_kept(reads_to_end: bool) -> None:
+    claims, cancelled = await read_and_disconnect([1, 2, 3], reads_to_end=reads_to_end)
     assert not claims.kept and not claims.released
     assert len(cancelled) == 1
 
 
-def test_events_before_a_gap_in_one_batch_are_passed_on():
+def test_events_before_a_gap_in_one_batch_are_forwarded():
     batch = [StreamEvent(n, b"%d;" % n, False) for n in (1, 2, 4)]
     order = EventSequence()
     taken = take_batch(batch, order)
@@ -217,7 +221,7 @@
         ({"resumes": 5}, Fail),
     ],
 )
-def test_goes_on_only_where_it_can_do_so_exactly(changes, expected):
+def test_a_stream_resumes_only_where_it_can_continue_exactly(changes, expected):
     values = {
         "last": 3,
         "resumes": 0,
