--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -70,13 +70,13 @@
         self._on_way: Counter[str] = Counter()
         self._ends = CrashDetector(
             _check,
-            _note,
+            _log_event,
             self._note_lost,
             list_servers=lambda: (s.watched for s in engines.servers.values()),
         )
         late = settings.timing.gossip * LATE_PERIODS
         self._suspicions = CrashRecords(KEEP_SECONDS, self._ends.measure_hazard, late)
-        engines.on_crash = self._ends.note_ended
+        engines.on_crash = self._ends.note_crash
         members.add_fact_part(ENDS_PART, self._describe)
         members.on_fact(self._take_fact)
 
@@ -118,17 +118,17 @@
         state = self._engines.servers.get(name)
         return None if state is None else state.watched
 
-    def note_broken(
+    def note_failed_attempt(
         self, call: Call, server: WatchedServer | None, sent_at: float
     ) -> None:
         """Note that an attempt brought no whole answer, and may have run."""
         if server is not None:
-            self._ends.note_broken(server, self.identify(call), sent_at)
+            self._ends.note_failed_attempt(server, self.identify(call), sent_at)
 
     def _note_lost(self, lost: LostRequest) -> None:
         server = lost.server
         end = ServerCrash(
-            lost.fingerprint, server.id, server.started_ms, lost.sent_at, lost.broken_at
+            lost.fingerprint, server.id, server.started_ms, lost.sent_at, lost.failed_at
         )
         self._take(end)
 
@@ -181,5 +181,5 @@
     return await check_address(server.address)
 
 
-def _note(event: str, **fields: object) -> None:
+def _log_event(event: str, **fields: object) -> None:
     logger.notice(event, extra=fields)
--- a/ashpond/controllers/crashdetection.py
+++ b/ashpond/controllers/crashdetection.py
@@ -24,9 +24,9 @@
 ATTRIBUTION_SECONDS = 6.0
 # All connections break at the moment of an end; some are read a little later than the
 # first of them, which may have been enough to learn of the end (seconds).
-SAME_END_SECONDS = 1.0
+SAME_CRASH_SECONDS = 1.0
 # A server is connected to at most so often to see whether it lives (seconds).
-CHECK_SECONDS = 0.5
+CHECK_INTERVAL_SECONDS = 0.5
 # Servers whose sends broke of late, and requests of each; a server has 24 to 64 slots.
 MAX_SERVERS = 256
 MAX_REQUESTS = 64
@@ -35,8 +35,8 @@
 # How often servers end is measured over this time; just after the start of an instance
 # over what has passed since, but not less than the shorter one (seconds).
 HAZARD_SECONDS = 30.0
-LEAST_HAZARD_SECONDS = 5.0
-MAX_ENDED = 4_096
+MIN_HAZARD_SECONDS = 5.0
+MAX_CRASHES = 4_096
 
 
 class CrashEvidence(StrEnum):
@@ -71,19 +71,19 @@
     fingerprint: str
     server: WatchedServer
     sent_at: float
-    broken_at: float
+    failed_at: float
 
 
-class _Broken:
+class _FailedAttempts:
     """The sends that broke at one start of a server, by fingerprint."""
 
     def __init__(self, server: WatchedServer):
         self.server = server
-        self.lost: dict[str, LostRequest] = {}
-        self.broken_at = float("-inf")
+        self.requests: dict[str, LostRequest] = {}
+        self.failed_at = float("-inf")
         self.checked_at = float("-inf")
-        self.alive_at = float("-inf")
-        self.ended_at: float | None = None
+        self.reachable_at = float("-inf")
+        self.crashed_at: float | None = None
 
 
 class CrashDetector:
@@ -99,38 +99,40 @@
     def __init__(
         self,
         check: Callable[[WatchedServer], Awaitable[Reach]],
-        note: Callable[..., None],
+        log_event: Callable[..., None],
         on_lost: Callable[[LostRequest], None],
         on_refused: Callable[[WatchedServer], None] = lambda server: None,
         list_servers: Callable[[], Iterable[WatchedServer]] = lambda: (),
     ):
         self._check_server = check
-        self._note = note
+        self._log_event = log_event
         self._on_lost = on_lost
         self._on_refused = on_refused
         self._list_servers = list_servers
         self._watched_since: float | None = None
         # The service of each start that has ended of late, and when.
-        self._ended: dict[str, tuple[str, float]] = {}
+        self._crashes: dict[str, tuple[str, float]] = {}
         # The most servers of each service that were there of late, and when.
         self._peaks: dict[str, tuple[int, float]] = {}
-        self._by_owner: dict[str, _Broken] = {}
-        self._checks, self._to_check = trio.open_memory_channel[_Broken](MAX_CHECKS)
+        self._by_owner: dict[str, _FailedAttempts] = {}
+        self._checks, self._to_check = trio.open_memory_channel[_FailedAttempts](
+            MAX_CHECKS
+        )
 
     async def run(self) -> None:
         """Ask the servers whose sends broke, until cancelled."""
-        self.count_servers()
+        self.note_server_counts()
         async with trio.open_nursery() as nursery:
-            async for broken in self._to_check:
-                nursery.start_soon(self._check, broken)
+            async for attempts in self._to_check:
+                nursery.start_soon(self._check, attempts)
 
-    def note_broken(
+    def note_failed_attempt(
         self,
         server: WatchedServer,
         fingerprint: str | None,
         sent_at: float,
         *,
-        is_silent: bool = False,
+        is_idle_timeout: bool = False,
     ) -> None:
         """Note that a send broke, or fell silent, without a whole answer.
 
@@ -141,52 +143,54 @@
         if fingerprint is None or server.is_draining:
             return
         now = trio.current_time()
-        broken = self._find(server, now)
-        broken.broken_at = now
+        attempts = self._get_attempts(server, now)
+        attempts.failed_at = now
         lost = LostRequest(fingerprint, server, sent_at, now)
-        if broken.ended_at is not None:
-            if now - broken.ended_at <= SAME_END_SECONDS:
+        if attempts.crashed_at is not None:
+            if now - attempts.crashed_at <= SAME_CRASH_SECONDS:
                 self._on_lost(lost)
             return
-        if len(broken.lost) < MAX_REQUESTS:
-            broken.lost[fingerprint] = lost
-        if not is_silent:
-            self._ask_to_check(broken, now)
+        if len(attempts.requests) < MAX_REQUESTS:
+            attempts.requests[fingerprint] = lost
+        if not is_idle_timeout:
+            self._request_check(attempts, now)
 
-    def note_ended(self, server: WatchedServer, evidence: CrashEvidence) -> None:
+    def note_crash(self, server: WatchedServer, evidence: CrashEvidence) -> None:
         """Take a sign that a start of a server has ended."""
         if server.is_draining:
             return
         now = trio.current_time()
-        self._count_end(server, now)
-        broken = self._by_owner.get(server.owner)
-        if broken is None or broken.ended_at is not None:
+        self._count_crash(server, now)
+        attempts = self._by_owner.get(server.owner)
+        if attempts is None or attempts.crashed_at is not None:
             return
         since = now - ATTRIBUTION_SECONDS
         if evidence is not CrashEvidence.NEW_START:
             # It lived after these broke, or has gone without ending them.
-            since = max(since, broken.alive_at)
-        lost = [found for found in broken.lost.values() if found.broken_at >= since]
-        broken.ended_at = now
-        broken.lost.clear()
-        self._note(
+            since = max(since, attempts.reachable_at)
+        lost = [
+            found for found in attempts.requests.values() if found.failed_at >= since
+        ]
+        attempts.crashed_at = now
+        attempts.requests.clear()
+        self._log_event(
             "server_ended",
             server=server.id,
             born=server.started_ms,
             evidence=evidence,
-            after=round(now - broken.broken_at, 4),
+            after=round(now - attempts.failed_at, 4),
             in_flight=sorted(found.fingerprint for found in lost),
         )
         for found in lost:
             self._on_lost(found)
 
-    def _count_end(self, server: WatchedServer, now: float) -> None:
-        if server.owner in self._ended or len(self._ended) >= MAX_ENDED:
+    def _count_crash(self, server: WatchedServer, now: float) -> None:
+        if server.owner in self._crashes or len(self._crashes) >= MAX_CRASHES:
             return
-        self.count_servers()
-        self._ended[server.owner] = (server.service, now)
+        self.note_server_counts()
+        self._crashes[server.owner] = (server.service, now)
 
-    def count_servers(self) -> None:
+    def note_server_counts(self) -> None:
         """Note how many servers there are now; call it every few seconds."""
         now = trio.current_time()
         if self._watched_since is None:
@@ -197,17 +201,17 @@
             if count >= peak or now - at > HAZARD_SECONDS:
                 self._peaks[service] = (count, now)
         since = now - HAZARD_SECONDS
-        self._ended = {o: end for o, end in self._ended.items() if end[1] >= since}
+        self._crashes = {o: end for o, end in self._crashes.items() if end[1] >= since}
 
     def measure_hazard(self) -> float:
         """Return how often servers ended of late, in the service that lost most.
 
         :return: ends per server and second.
         """
-        self.count_servers()
+        self.note_server_counts()
         since = self._watched_since or 0.0
-        ended = Counter(service for service, _ in self._ended.values())
-        watched = max(LEAST_HAZARD_SECONDS, trio.current_time() - since)
+        ended = Counter(service for service, _ in self._crashes.values())
+        watched = max(MIN_HAZARD_SECONDS, trio.current_time() - since)
         seconds = min(HAZARD_SECONDS, watched)
         return max(
             (
@@ -217,33 +221,33 @@
             default=0.0,
         )
 
-    def _find(self, server: WatchedServer, now: float) -> _Broken:
-        broken = self._by_owner.pop(server.owner, None)
-        if broken is None:
-            broken = _Broken(server)
+    def _get_attempts(self, server: WatchedServer, now: float) -> _FailedAttempts:
+        attempts = self._by_owner.pop(server.owner, None)
+        if attempts is None:
+            attempts = _FailedAttempts(server)
         # The last one that broke stands last, so that the first is the oldest.
-        self._by_owner[server.owner] = broken
+        self._by_owner[server.owner] = attempts
         for owner, oldest in list(self._by_owner.items()):
-            is_old = now - oldest.broken_at > ATTRIBUTION_SECONDS
-            if oldest is broken or not (is_old or len(self._by_owner) > MAX_SERVERS):
+            is_old = now - oldest.failed_at > ATTRIBUTION_SECONDS
+            if oldest is attempts or not (is_old or len(self._by_owner) > MAX_SERVERS):
                 break
             del self._by_owner[owner]
-        return broken
+        return attempts
 
-    def _ask_to_check(self, broken: _Broken, now: float) -> None:
-        if now - broken.checked_at < CHECK_SECONDS:
+    def _request_check(self, attempts: _FailedAttempts, now: float) -> None:
+        if now - attempts.checked_at < CHECK_INTERVAL_SECONDS:
             return
-        broken.checked_at = now
+        attempts.checked_at = now
         try:
-            self._checks.send_nowait(broken)
+            self._checks.send_nowait(attempts)
         except trio.WouldBlock:
-            self._note("server_check_skipped", server=broken.server.id)
+            self._log_event("server_check_skipped", server=attempts.server.id)
 
-    async def _check(self, broken: _Broken) -> None:
-        server = broken.server
+    async def _check(self, attempts: _FailedAttempts) -> None:
+        server = attempts.server
         reach = await self._check_server(server)
         if reach is Reach.REFUSED:
-            self.note_ended(server, CrashEvidence.REFUSED)
+            self.note_crash(server, CrashEvidence.REFUSED)
             self._on_refused(server)
         elif reach is Reach.CONNECTED:
-            broken.alive_at = trio.current_time()
+            attempts.reachable_at = trio.current_time()
--- a/ashpond/controllers/quarantine.py
+++ b/ashpond/controllers/quarantine.py
@@ -181,7 +181,7 @@
         """Take a request that was in flight here when its server ended."""
         server = lost.server
         sent_at = self._clock.estimate_store_time(lost.sent_at)
-        ended_at = self._clock.estimate_store_time(lost.broken_at)
+        ended_at = self._clock.estimate_store_time(lost.failed_at)
         end = ServerCrash(
             lost.fingerprint, server.id, server.started_ms, sent_at, ended_at
         )
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -66,7 +66,7 @@
         server_id = state.info.id
         self._holdings.remove_server(server_id)
         self._pool.forget(ended.owner)
-        self._ends.note_ended(ended.watched, CrashEvidence.NEW_START)
+        self._ends.note_crash(ended.watched, CrashEvidence.NEW_START)
         self._get_rollouts().forget_start(server_id)
         self._log.note(
             "server_started_anew",
@@ -122,7 +122,7 @@
 
     def on_gone(self, gone: ServerState) -> None:
         """Forget a server whose entry has gone."""
-        self._ends.note_ended(gone.watched, CrashEvidence.ENTRY_GONE)
+        self._ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
         self._pool.forget(gone.owner)
 
     def on_refused(self, server: WatchedServer) -> None:
--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -161,7 +161,7 @@
             self._engines.abandon_probe(placement.server)
             raise
         if isinstance(outcome, MaybeRun):
-            self._ends.note_broken(call, server, entry.sent_at)
+            self._ends.note_failed_attempt(call, server, entry.sent_at)
         self._settle(call, placement, outcome, before)
         if not isinstance(outcome, Reply):
             self._engines.note_ended(placement.server, entry)
@@ -316,7 +316,7 @@
         async def reopen(current: EngineAnswer, plan: Continue) -> EngineAnswer | None:
             if plan.same_engine:
                 return await resume_same(self._client, current, plan.after)
-            self._ends.note_broken(call, server, attempt.entry.sent_at)
+            self._ends.note_failed_attempt(call, server, attempt.entry.sent_at)
             if self._ends.judge(self._ends.identify(call)) is not QuarantineState.FREE:
                 return None
             return await self._continue_elsewhere(call, attempt, plan.after)
--- a/ashpond/gateway/housekeeping.py
+++ b/ashpond/gateway/housekeeping.py
@@ -29,7 +29,7 @@
             gateway.stores.expire(now)
             gateway.quarantine.expire()
             gateway.members.expire()
-            gateway.ends.count_servers()
+            gateway.ends.note_server_counts()
         for gone in gateway.table.expire(now):
             gateway.servers.on_gone(gone)
             gateway.log.note("server_expired", server=gone.info.id)
--- a/ashpond/gateway/sends.py
+++ b/ashpond/gateway/sends.py
@@ -71,7 +71,7 @@
             return self._note_failed(SILENT, is_sent=channel is not None)
         except ChannelError as error:
             if error.is_refused:
-                self.tools.ends.note_ended(state.watched, CrashEvidence.REFUSED)
+                self.tools.ends.note_crash(state.watched, CrashEvidence.REFUSED)
             return self._note_failed(str(error), is_sent=error.is_sent)
         finally:
             if channel is not None and is_whole:
@@ -174,8 +174,11 @@
         return Failed(reason)
 
     def _note_broken(self, state: ServerState, *, is_silent: bool = False) -> None:
-        self.tools.ends.note_broken(
-            state.watched, self.call.fingerprint, self._sent_at, is_silent=is_silent
+        self.tools.ends.note_failed_attempt(
+            state.watched,
+            self.call.fingerprint,
+            self._sent_at,
+            is_idle_timeout=is_silent,
         )
 
     def _build_request(self) -> Outgoing:
@@ -240,7 +243,7 @@
         asked = self._place.weights_version or 0
         if marks.server_id not in (None, state.info.id):
             state.is_misdirected = True
-            self.tools.ends.note_ended(state.watched, CrashEvidence.OTHER_SERVER)
+            self.tools.ends.note_crash(state.watched, CrashEvidence.OTHER_SERVER)
         elif marks.weights_version is not None:
             state.weights[model] = marks.weights_version
         elif asked and state.weights.get(model, 0) == asked < target:
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -275,7 +275,7 @@
         for instance in self.instances:
             gone = instance.table.remove(name, now, may_reappear=False)
             if gone is not None:
-                instance.ends.note_ended(gone.watched, CrashEvidence.ENTRY_GONE)
+                instance.ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
         await trio.sleep(AWAY_SECONDS - ENTRY_SECONDS)
         self._start_server()
 
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -56,7 +56,7 @@
     def end(self, call: Call, start: str) -> None:
         """Lose a call with the end of a server's start."""
         server = WatchedServer(start, start, None, "127.0.0.1:9", "reader", False)
-        self.ends.note_broken(call, server, trio.current_time() - 0.1)
+        self.ends.note_failed_attempt(call, server, trio.current_time() - 0.1)
         self.engines.on_crash(server, CrashEvidence.NEW_START)
 
     def judge(self, call: Call) -> QuarantineState:
@@ -179,6 +179,6 @@
     nursery.start_soon(told.ends.run)
     call = make_call()
     server = WatchedServer("e#1", "e#1", None, "127.0.0.1:9", "reader", False)
-    told.ends.note_broken(call, server, trio.current_time())
+    told.ends.note_failed_attempt(call, server, trio.current_time())
     await trio.sleep(0.01)
     assert told.judge(call) is QuarantineState.SUSPECTED
--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -9,11 +9,11 @@
 from ashpond.clients.channels import ChannelPool, Reach
 from ashpond.controllers.crashdetection import (
     ATTRIBUTION_SECONDS,
-    CHECK_SECONDS,
+    CHECK_INTERVAL_SECONDS,
     HAZARD_SECONDS,
     MAX_REQUESTS,
     MAX_SERVERS,
-    SAME_END_SECONDS,
+    SAME_CRASH_SECONDS,
     CrashDetector,
     CrashEvidence,
     LostRequest,
@@ -67,8 +67,8 @@
     watched = Watched(Reach.REFUSED)
     nursery.start_soon(watched.ends.run)
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time())
-    watched.ends.note_broken(state, "f2", trio.current_time())
+    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
+    watched.ends.note_failed_attempt(state, "f2", trio.current_time())
     await trio.sleep(0.01)
     assert watched.list_lost() == ["f1", "f2"]
     assert watched.refused == [state]
@@ -81,10 +81,10 @@
     watched = Watched(Reach.CONNECTED)
     nursery.start_soon(watched.ends.run)
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time())
+    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(1)
     # It ends later, for another reason; what broke before was not ended by it.
-    watched.ends.note_ended(state, CrashEvidence.ENTRY_GONE)
+    watched.ends.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert not watched.lost
 
 
@@ -94,9 +94,9 @@
     watched = Watched(Reach.CONNECTED)
     nursery.start_soon(watched.ends.run)
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time())
+    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(0.5)
-    watched.ends.note_ended(state, CrashEvidence.NEW_START)
+    watched.ends.note_crash(state, CrashEvidence.NEW_START)
     assert watched.list_lost() == ["f1"]
 
 
@@ -106,9 +106,9 @@
 ) -> None:
     watched = Watched()
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time())
-    watched.ends.note_ended(state, evidence)
-    watched.ends.note_ended(state, CrashEvidence.ENTRY_GONE)
+    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
+    watched.ends.note_crash(state, evidence)
+    watched.ends.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert watched.list_lost() == ["f1"]
     assert watched.lost[0].server is state
 
@@ -118,12 +118,12 @@
 ) -> None:
     watched = Watched()
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time())
-    watched.ends.note_ended(state, CrashEvidence.REFUSED)
-    await trio.sleep(SAME_END_SECONDS / 2)
-    watched.ends.note_broken(state, "f2", trio.current_time())
-    await trio.sleep(SAME_END_SECONDS)
-    watched.ends.note_broken(state, "f3", trio.current_time())
+    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
+    watched.ends.note_crash(state, CrashEvidence.REFUSED)
+    await trio.sleep(SAME_CRASH_SECONDS / 2)
+    watched.ends.note_failed_attempt(state, "f2", trio.current_time())
+    await trio.sleep(SAME_CRASH_SECONDS)
+    watched.ends.note_failed_attempt(state, "f3", trio.current_time())
     assert watched.list_lost() == ["f1", "f2"]
 
 
@@ -132,10 +132,10 @@
 ) -> None:
     watched = Watched()
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time())
+    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(ATTRIBUTION_SECONDS + 0.1)
-    watched.ends.note_broken(state, "f2", trio.current_time())
-    watched.ends.note_ended(state, CrashEvidence.REFUSED)
+    watched.ends.note_failed_attempt(state, "f2", trio.current_time())
+    watched.ends.note_crash(state, CrashEvidence.REFUSED)
     assert watched.list_lost() == ["f2"]
 
 
@@ -144,8 +144,8 @@
 ) -> None:
     watched = Watched()
     leaving = make_state(is_draining=True)
-    watched.ends.note_broken(leaving, "f1", trio.current_time())
-    watched.ends.note_ended(leaving, CrashEvidence.ENTRY_GONE)
+    watched.ends.note_failed_attempt(leaving, "f1", trio.current_time())
+    watched.ends.note_crash(leaving, CrashEvidence.ENTRY_GONE)
     assert not watched.lost
 
 
@@ -156,8 +156,8 @@
     nursery.start_soon(watched.ends.run)
     state = make_state()
     for number in range(100):
-        watched.ends.note_broken(state, f"f{number}", trio.current_time())
-        await trio.sleep(CHECK_SECONDS / 100)
+        watched.ends.note_failed_attempt(state, f"f{number}", trio.current_time())
+        await trio.sleep(CHECK_INTERVAL_SECONDS / 100)
     assert watched.pool.checks <= 2
 
 
@@ -167,11 +167,13 @@
     watched = Watched(Reach.REFUSED)
     nursery.start_soon(watched.ends.run)
     state = make_state()
-    watched.ends.note_broken(state, "f1", trio.current_time(), is_silent=True)
+    watched.ends.note_failed_attempt(
+        state, "f1", trio.current_time(), is_idle_timeout=True
+    )
     await trio.sleep(0.1)
     assert watched.pool.checks == 0
     # What was in flight counts, if its end shows otherwise.
-    watched.ends.note_ended(state, CrashEvidence.ENTRY_GONE)
+    watched.ends.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert watched.list_lost() == ["f1"]
 
 
@@ -180,9 +182,9 @@
     states = [make_state(f"s{number}") for number in range(MAX_SERVERS + 10)]
     for state in states:
         for number in range(MAX_REQUESTS + 10):
-            watched.ends.note_broken(state, f"f{number}", trio.current_time())
+            watched.ends.note_failed_attempt(state, f"f{number}", trio.current_time())
     for state in states:
-        watched.ends.note_ended(state, CrashEvidence.REFUSED)
+        watched.ends.note_crash(state, CrashEvidence.REFUSED)
     assert len(watched.lost) == MAX_SERVERS * MAX_REQUESTS
 
 
@@ -242,7 +244,7 @@
     assert ends.measure_hazard() == 0
     await trio.sleep(HAZARD_SECONDS)
     for state in engines[:3] + plain[:1] + engines[:3]:
-        ends.note_ended(state, CrashEvidence.ENTRY_GONE)
+        ends.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert ends.measure_hazard() == pytest.approx(3 / (5 * HAZARD_SECONDS))
     await trio.sleep(HAZARD_SECONDS + 1)
     assert ends.measure_hazard() == 0
@@ -259,9 +261,9 @@
         lambda lost: None,
         list_servers=lambda: there,
     )
-    ends.count_servers()
+    ends.note_server_counts()
     await trio.sleep(HAZARD_SECONDS / 2)
     for state in engines:
-        ends.note_ended(state, CrashEvidence.ENTRY_GONE)
+        ends.note_crash(state, CrashEvidence.ENTRY_GONE)
         there.remove(state)
     assert ends.measure_hazard() == pytest.approx(5 / (5 * HAZARD_SECONDS / 2))
