--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -31,8 +31,8 @@
 MAX_BACKOFF_SECONDS = 3600.0
 # Instances that were rejected together return one after the other: each up to this
 # share of the backoff later, and no more than so many seconds.
-SPREAD_SHARE = 0.1
-MOST_SPREAD_SECONDS = 0.5
+JITTER_SHARE = 0.1
+MAX_JITTER_SECONDS = 0.5
 
 
 class ServerDirectives:
@@ -48,21 +48,21 @@
         self,
         table: ServerTable,
         log: DecisionLog,
-        count: Callable[[str], None],
-        tell: Callable[[ServerNotice], None],
+        count_event: Callable[[str], None],
+        send_notice: Callable[[ServerNotice], None],
         rng: random.Random,
         on_limit: OnLimit | None = None,
         on_leaving: Callable[[], None] | None = None,
     ):
         self._table = table
         self._log = log
-        self._count = count
-        self._tell = tell
+        self._count_event = count_event
+        self._send_notice = send_notice
         self._rng = rng
         self._on_limit = on_limit
         self._on_leaving = on_leaving
 
-    def take_answer(
+    def apply_answer(
         self, state: ServerState, status: int, marks: AnswerMarks, sent_at: float
     ) -> None:
         """Take what an answer says of its server.
@@ -72,51 +72,53 @@
         if marks.server_id not in (None, state.info.id):
             return
         # Another server may be at the address and not tell its id.
-        is_certain = status != MISDIRECTED or marks.server_id is not None
-        self._take_limit(state, marks, sent_at, is_certain=is_certain)
+        is_from_server = status != MISDIRECTED or marks.server_id is not None
+        self._apply_limit(state, marks, sent_at, is_from_server=is_from_server)
         if marks.is_leaving_invalid:
             self._note(state, "server_leaving_invalid")
         if marks.is_leaving:
             self._note_leaving(state, "answer")
         if status in REJECTIONS:
-            self._take_backoff(state, marks)
+            self._apply_backoff(state, marks)
 
-    def take_notice(self, state: ServerState, notice: ServerNotice) -> None:
+    def apply_notice(self, state: ServerState, notice: ServerNotice) -> None:
         """Take a notice of a peer of what a server says."""
         if notice.is_leaving:
             self._note_leaving(state, "peer")
         if notice.limit is not None:
-            self._take_limit_notice(state, notice.limit)
+            self._apply_limit_notice(state, notice.limit)
 
-    def _take_limit_notice(self, state: ServerState, limit: LimitNotice) -> None:
+    def _apply_limit_notice(self, state: ServerState, limit: LimitNotice) -> None:
         now = trio.current_time()
         weighed = update_limit_from_peer(state.rate_limit, limit.rate, limit.age, now)
-        self._adopt(state, weighed, "peer")
+        self._set_limit(state, weighed, "peer")
 
-    def _take_limit(
+    def _apply_limit(
         self,
         state: ServerState,
         marks: AnswerMarks,
         sent_at: float,
         *,
-        is_certain: bool,
+        is_from_server: bool,
     ) -> None:
         if marks.is_limit_invalid:
             self._note(state, "server_limit_invalid")
-        if marks.rate_limit is None and (marks.is_limit_invalid or not is_certain):
+        if marks.rate_limit is None and (marks.is_limit_invalid or not is_from_server):
             return
         now = trio.current_time()
         known = state.rate_limit
         weighed = update_limit(known, marks.rate_limit, sent_at, now)
-        self._adopt(state, weighed, "answer")
+        self._set_limit(state, weighed, "answer")
         if weighed.rate == known.rate:
-            self._confirm(state, sent_at, now)
+            self._resend_raised_limit(state, sent_at, now)
             return
         if not _is_lower(weighed, known):
             state.limit_raised_at = now
-        self._tell_limit(state, now - sent_at)
+        self._send_limit(state, now - sent_at)
 
-    def _confirm(self, state: ServerState, sent_at: float, now: float) -> None:
+    def _resend_raised_limit(
+        self, state: ServerState, sent_at: float, now: float
+    ) -> None:
         """Tell once more of a limit that was raised or lifted a moment ago.
 
         A peer that read an answer with the limit before, just then, does not believe
@@ -125,9 +127,9 @@
         raised_at = state.limit_raised_at
         if raised_at is not None and sent_at >= raised_at + 2 * MAX_UPDATE_AGE_SECONDS:
             state.limit_raised_at = None
-            self._tell_limit(state, now - sent_at)
+            self._send_limit(state, now - sent_at)
 
-    def _adopt(self, state: ServerState, limit: RateLimit, source: str) -> None:
+    def _set_limit(self, state: ServerState, limit: RateLimit, source: str) -> None:
         before = state.rate_limit.rate
         state.rate_limit = limit
         if limit.rate == before:
@@ -149,9 +151,9 @@
             notice = ServerNotice(
                 info.id, "", 0, 0.0, born=info.started_ms, is_leaving=True
             )
-            self._tell(notice)
+            self._send_notice(notice)
 
-    def _take_backoff(self, state: ServerState, marks: AnswerMarks) -> None:
+    def _apply_backoff(self, state: ServerState, marks: AnswerMarks) -> None:
         """Take the backoff that a server asks this instance for."""
         if marks.is_backoff_invalid:
             self._note(state, "server_backoff_invalid")
@@ -159,8 +161,8 @@
             return
         now = trio.current_time()
         seconds = min(marks.backoff, MAX_BACKOFF_SECONDS)
-        spread = self._rng.uniform(0, min(MOST_SPREAD_SECONDS, seconds * SPREAD_SHARE))
-        until = now + seconds + spread
+        jitter = self._rng.uniform(0, min(MAX_JITTER_SECONDS, seconds * JITTER_SHARE))
+        until = now + seconds + jitter
         if until > state.backoff_until:
             state.backoff_until = until
             self._note(
@@ -170,13 +172,15 @@
                 seconds=round(until - now, 3),
             )
 
-    def _tell_limit(self, state: ServerState, age: float) -> None:
+    def _send_limit(self, state: ServerState, age: float) -> None:
         info = state.info
         limit = LimitNotice(state.rate_limit.rate, min(age, MAX_CLOSED_SECONDS))
-        self._tell(ServerNotice(info.id, "", 0, 0.0, born=info.started_ms, limit=limit))
+        self._send_notice(
+            ServerNotice(info.id, "", 0, 0.0, born=info.started_ms, limit=limit)
+        )
 
     def _note(self, state: ServerState, event: str, **fields: object) -> None:
-        self._count(event)
+        self._count_event(event)
         info = state.info
         self._log.note(
             event, server=info.id, service=info.service, born=info.started_ms, **fields
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -57,7 +57,7 @@
         self._get_rollouts = get_rollouts
         self._wake = wake
 
-    def on_new_start(self, ended: ServerState, state: ServerState) -> None:
+    def on_new_start(self, previous: ServerState, state: ServerState) -> None:
         """Forget what is known, beside the table, of a server's earlier start.
 
         Calls in flight there end with their connections, which the server's end has
@@ -65,8 +65,8 @@
         """
         server_id = state.info.id
         self._holdings.remove_server(server_id)
-        self._pool.forget(ended.owner)
-        self._ends.note_crash(ended.watched, CrashEvidence.NEW_START)
+        self._pool.forget(previous.owner)
+        self._ends.note_crash(previous.watched, CrashEvidence.NEW_START)
         self._get_rollouts().forget_start(server_id)
         self._log.note(
             "server_started_anew",
@@ -79,14 +79,14 @@
     def on_notice(self, notice: ServerNotice) -> None:
         """Take a peer's notice of a change at a server."""
         now = trio.current_time()
-        told = {notice.model: notice.version} if notice.version else {}
-        order = self._table.note_start(notice.server_id, notice.born, now, told)
+        weights = {notice.model: notice.version} if notice.version else {}
+        order = self._table.note_start(notice.server_id, notice.born, now, weights)
         if order is StartOrder.OLDER:
             return
         state = self._table.by_id.get(notice.server_id)
         if notice.limit is not None or notice.is_leaving:
             if state is not None:
-                self._statements.take_notice(state, notice)
+                self._statements.apply_notice(state, notice)
             return
         if notice.is_unreached:
             if state is not None:
@@ -102,39 +102,39 @@
             state.readmit()
             self._wake()
 
-    def on_holding(self, holding: CacheEntry) -> None:
+    def on_cache_entry(self, entry: CacheEntry) -> None:
         """Take a peer's word of what an engine has read."""
         now = trio.current_time()
-        order = self._table.note_start(holding.server_id, holding.started_ms, now)
+        order = self._table.note_start(entry.server_id, entry.started_ms, now)
         if order is not StartOrder.OLDER:
-            self._holdings.note_reported(holding, now)
+            self._holdings.note_reported(entry, now)
 
-    def note_held(self, state: ServerState, salt: str, prompt: Prompt) -> None:
+    def note_cached_prompt(self, state: ServerState, salt: str, prompt: Prompt) -> None:
         """Note, and tell, that an engine has read a prompt."""
         if not self._table.is_current(state):
             return
         now = trio.current_time()
         info = state.info
-        for holding in self._holdings.note_read(
+        for entry in self._holdings.note_read(
             info.id, salt, prompt, now, info.started_ms
         ):
-            self._get_news().tell_holding(holding)
+            self._get_news().tell_holding(entry)
 
-    def on_gone(self, gone: ServerState) -> None:
+    def on_entry_gone(self, gone: ServerState) -> None:
         """Forget a server whose entry has gone."""
         self._ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
         self._pool.forget(gone.owner)
 
-    def on_refused(self, server: WatchedServer) -> None:
+    def on_connection_refused(self, server: WatchedServer) -> None:
         """Send nothing more to a server that takes no connections, and tell so."""
         state = self._table.by_id.get(server.id)
         if state is None or state.owner != server.owner:
             return
-        pause = state.note_connect_failure(trio.current_time())
+        exclusion_seconds = state.note_connect_failure(trio.current_time())
         self._pool.forget(state.owner)
-        self.announce_unreached(state, pause)
+        self.announce_unreachable(state, exclusion_seconds)
 
-    def announce_unreached(self, state: ServerState, seconds: float) -> None:
+    def announce_unreachable(self, state: ServerState, seconds: float) -> None:
         """Tell the peers that a server could not be reached."""
         info = state.info
         notice = ServerNotice(info.id, "", 0, seconds, True, born=info.started_ms)
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/world.py
@@ -277,7 +277,7 @@
             for instance in self.instances:
                 state = instance.table.by_id[notice.server_id]
                 if notice.limit is not None or notice.is_leaving:
-                    instance.statements.take_notice(state, notice)
+                    instance.statements.apply_notice(state, notice)
                     continue
                 instance.rollouts.note_progress()
                 state.update_weights(notice.model, notice.version)
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -85,7 +85,7 @@
             lambda server: pool.check(server.owner, server.address),
             log.note,
             lambda lost: self.quarantine.note_lost(lost),
-            lambda server: self.servers.on_refused(server),
+            lambda server: self.servers.on_connection_refused(server),
             lambda: (state.watched for state in self.table.by_id.values()),
         )
         self.view = StoreView(
@@ -95,7 +95,7 @@
             self._on_configuration,
             self._on_servers,
             lambda: self.rollouts.note_change(),
-            lambda state: self.servers.on_gone(state),
+            lambda state: self.servers.on_entry_gone(state),
         )
         self.quarantine = Quarantine(
             settings.name,
@@ -184,7 +184,7 @@
             log,
             NewsHandlers(
                 self.servers.on_notice,
-                self.servers.on_holding,
+                self.servers.on_cache_entry,
                 self.budgets.list_own,
                 self.budgets.note_peer,
                 self.budgets.keep_peers,
@@ -234,12 +234,12 @@
                 log,
                 self.budgets.get,
                 self.members.count,
-                self.servers.note_held,
+                self.servers.note_cached_prompt,
                 lambda call, team: identify_call(self.members.secret, call, team),
                 self.ends,
                 self.statements,
                 self.quarantine,
-                self.servers.announce_unreached,
+                self.servers.announce_unreachable,
                 self.allowances.take,
                 self.allowances.give_back,
                 self.permits.take,
--- a/ashpond/gateway/housekeeping.py
+++ b/ashpond/gateway/housekeeping.py
@@ -31,5 +31,5 @@
             gateway.members.expire()
             gateway.ends.note_server_counts()
         for gone in gateway.table.expire(now):
-            gateway.servers.on_gone(gone)
+            gateway.servers.on_entry_gone(gone)
             gateway.log.note("server_expired", server=gone.info.id)
--- a/ashpond/gateway/sends.py
+++ b/ashpond/gateway/sends.py
@@ -110,7 +110,7 @@
         self.call.runs += 1
         response = await channel.exchange(self._build_request())
         marks = self.tools.codec.read_marks(response.headers)
-        self.tools.statements.take_answer(state, response.status, marks, self._sent_at)
+        self.tools.statements.apply_answer(state, response.status, marks, self._sent_at)
         rejection = self._read_rejection(response, marks)
         if rejection is not None:
             self.call.runs -= 1
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -58,8 +58,8 @@
             self.permits.on_limit,
         )
 
-    def take_notice(self, notice: ServerNotice) -> None:
-        self.statements.take_notice(self.state, notice)
+    def apply_notice(self, notice: ServerNotice) -> None:
+        self.statements.apply_notice(self.state, notice)
 
 
 class LimitFleet(Fleet):
@@ -96,7 +96,7 @@
         life = self.lives[name]
         await trio.sleep(self.rng.uniform(*NEWS_LAG_SECONDS))
         if self.cut.isdisjoint((sender, name)) and self.lives.get(name) is life:
-            life.take_notice(notice)
+            life.apply_notice(notice)
 
     async def send(self, name: str) -> None:
         """Have an instance send a request to the server, if it may."""
@@ -133,7 +133,7 @@
         if rate is not None and rate == self.rate:
             life.told_at = min(life.told_at, trio.current_time())
         marks = AnswerMarks(None, False, None, None, rate)
-        life.statements.take_answer(life.state, 200, marks, sent_at)
+        life.statements.apply_answer(life.state, 200, marks, sent_at)
 
     async def press_server(
         self, per_second: float, seconds: float, only: str = ""
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -72,7 +72,7 @@
     state.update_weights(MODEL, 3)
     state.load = Load(5, 100, 100)
     state.note_connect_failure(0.0)
-    gateway.servers.note_held(state, SALT, PROMPT)
+    gateway.servers.note_cached_prompt(state, SALT, PROMPT)
     peer = make_table(make_server("a", started_ms=1000))
     peer.by_id["a"].load = Load(4)
     gateway.table.note_peer_loads("p", peer.list_own_loads(), 0.0)
@@ -144,7 +144,7 @@
 async def test_a_new_start_told_with_what_it_has_read() -> None:
     gateway = make_used_gateway()
     parts = [part.id for part in PROMPT.parts[:-1]]
-    gateway.servers.on_holding(CacheEntry("a", SALT, parts[0], 2000))
+    gateway.servers.on_cache_entry(CacheEntry("a", SALT, parts[0], 2000))
     now = trio.current_time()
     # Of its weights nothing was told: what its entry said last is believed.
     assert gateway.table.by_id["a"].weights == {MODEL: 1}
@@ -156,7 +156,7 @@
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
     gateway.servers.on_notice(ServerNotice("a", MODEL, 9, 5.0, born=1000))
-    gateway.servers.on_holding(CacheEntry("a", SALT, PROMPT.parts[0].id, 1000))
+    gateway.servers.on_cache_entry(CacheEntry("a", SALT, PROMPT.parts[0].id, 1000))
     gateway.table.update(make_server("a", started_ms=1000, weights={MODEL: 9}), 0.0)
     assert gateway.table.note_start("a", 1000, 0.0, {MODEL: 9}) is StartOrder.OLDER
     assert gateway.table.by_id["a"] is state
@@ -214,7 +214,7 @@
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
     place = gateway.places.note_read(place)
-    gateway.servers.note_held(place.state, SALT, PROMPT)
+    gateway.servers.note_cached_prompt(place.state, SALT, PROMPT)
     gateway.places.give_back(place)
     assert state.load == Load()
     assert not gateway.holdings.count_tokens_by_server(
