--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -39,8 +39,8 @@
     AllowanceUnit,
     Granted,
     Ledger,
-    count_slots,
-    find_slot,
+    count_hash_slots,
+    find_hash_slot,
     measure_cost,
     plan_accrual,
 )
@@ -184,7 +184,7 @@
             self._adjust()
         if not self._links:
             return None
-        return self._links[find_slot(name, len(self._links))]
+        return self._links[find_hash_slot(name, len(self._links))]
 
     async def _request(
         self,
@@ -217,7 +217,7 @@
             return
         if not self._links:
             return
-        link = self._links[find_slot(grant.team, len(self._links))]
+        link = self._links[find_hash_slot(grant.team, len(self._links))]
         returned = ReturnedAllowance(grant.team, grant.unit, grant.cost)
         if link.is_own_coordinator:
             ledger = self._get_ledger(len(self._links), link.hash_slot)
@@ -356,7 +356,7 @@
         if self._has_server_limits():
             self._links_needed_until = now + LINGER_SECONDS
         needs_links = self._list_limits() or now < self._links_needed_until
-        wanted = count_slots(self._members.count()) if needs_links else 0
+        wanted = count_hash_slots(self._members.count()) if needs_links else 0
         if wanted == len(self._links) or self._nursery is None:
             return
         for link in self._links:
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -17,7 +17,7 @@
     encode_ask,
 )
 from ashpond.clients.peer import AllowanceAnswer, PeerStream
-from ashpond.decisions.allowances import AccruedTime, TimeSpan, list_keepers
+from ashpond.decisions.allowances import AccruedTime, TimeSpan, rank_coordinators
 from ashpond.decisions.fleetlinks import Member
 from ashpond.errors import FrameError
 from ashpond.news.links import PEER_ERRORS
@@ -173,7 +173,7 @@
         now = trio.current_time()
         return [
             member
-            for member in list_keepers(self.hash_slot, members)
+            for member in rank_coordinators(self.hash_slot, members)
             if self._avoided.get(member.name, 0.0) <= now
         ]
 
--- a/ashpond/decisions/allowances.py
+++ b/ashpond/decisions/allowances.py
@@ -23,9 +23,9 @@
     "Accrual",
     "Denied",
     "TimeSpan",
-    "count_slots",
-    "find_slot",
-    "list_keepers",
+    "count_hash_slots",
+    "find_hash_slot",
+    "rank_coordinators",
     "measure_cost",
     "plan_accrual",
 ]
@@ -68,9 +68,9 @@
 # A keeper that gets hardly any of the fleet's time plans returns as with this share.
 MIN_PLANNED_SHARE = 0.05
 # One keeper's share of the fleet (instances).
-INSTANCES_PER_SLOT = 100
+INSTANCES_PER_HASH_SLOT = 100
 # So many instances, of as many failure domains as possible, may be a slot's keeper.
-CANDIDATES = 4
+COORDINATOR_CANDIDATES = 4
 
 
 class AllowanceUnit(StrEnum):
@@ -163,23 +163,23 @@
     return Accrual(rate, min(capacity, MAX_RETENTION_SECONDS))
 
 
-def count_slots(instances: int) -> int:
+def count_hash_slots(instances: int) -> int:
     """Return among how many keepers the teams are shared out."""
-    return max(1, math.ceil(instances / INSTANCES_PER_SLOT))
+    return max(1, math.ceil(instances / INSTANCES_PER_HASH_SLOT))
 
 
-def find_slot(team: str, slots: int) -> int:
+def find_hash_slot(team: str, hash_slots: int) -> int:
     """Return the slot whose keeper has a team's account."""
-    return xxhash.xxh3_64_intdigest(team.encode()) % slots
+    return xxhash.xxh3_64_intdigest(team.encode()) % hash_slots
 
 
-def list_keepers(slot: int, members: Mapping[str, Member]) -> list[Member]:
+def rank_coordinators(hash_slot: int, members: Mapping[str, Member]) -> list[Member]:
     """Return who may be the keeper of a slot, the first choice first.
 
     All instances come to the same order, widest links first; the candidates are of
     different failure domains, so that one is reached when a domain is cut off.
     """
-    ranked = [members[name] for name in rank_by_rendezvous(slot, list(members))]
+    ranked = [members[name] for name in rank_by_rendezvous(hash_slot, list(members))]
     ranked.sort(key=lambda member: -member.link_mbps)
     domains: set[str] = set()
     first: list[Member] = []
@@ -188,7 +188,7 @@
         is_new = member.failure_domain not in domains
         (first if is_new else rest).append(member)
         domains.add(member.failure_domain)
-    return (first + rest)[:CANDIDATES]
+    return (first + rest)[:COORDINATOR_CANDIDATES]
 
 
 def _compute_grant_threshold(
--- a/tests/test_allowance_machine.py
+++ b/tests/test_allowance_machine.py
@@ -39,7 +39,7 @@
     """A message on its way to a keeper: time that was earned, and a request."""
 
     sender: str
-    keeper: int
+    coordinator: int
     span: TimeSpan | None
     cost: int
 
@@ -71,13 +71,13 @@
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
-    @rule(keeper=numbers, seconds=st.sampled_from([0.5, 2.0, 8.0]))
-    def run_calmly(self, keeper: int, seconds: float) -> None:
+    @rule(coordinator=numbers, seconds=st.sampled_from([0.5, 2.0, 8.0]))
+    def run_calmly(self, coordinator: int, seconds: float) -> None:
         """All that are known hand over their time as it is earned."""
         for _ in range(round(seconds / 0.25)):
             self.now += 0.25
             for name in self.names:
-                self.hand_over(name, keeper, self.earnings[name].take(self.now))
+                self.hand_over(name, coordinator, self.earnings[name].take(self.now))
 
     @rule(first=numbers, other=numbers, split=numbers, steps=st.integers(1, 32))
     def press(self, first: int, other: int, split: int, steps: int) -> None:
@@ -85,23 +85,23 @@
         for _ in range(steps):
             self.now += 0.25
             for number, name in enumerate(self.names):
-                keeper = other if number < split else first
-                self.hand_over(name, keeper, self.earnings[name].take(self.now))
+                coordinator = other if number < split else first
+                self.hand_over(name, coordinator, self.earnings[name].take(self.now))
             self.use_up(first)
             self.use_up(other)
 
-    @rule(keeper=numbers)
-    def use_up(self, keeper: int) -> None:
-        ledger = self.ledgers[keeper]
+    @rule(coordinator=numbers)
+    def use_up(self, coordinator: int) -> None:
+        ledger = self.ledgers[coordinator]
         left = ledger.get_remaining(TEAM, self.allowance, self.accrual, self.now)
         if left >= 1:
-            self.decide(keeper, int(left))
+            self.decide(coordinator, int(left))
 
-    @rule(number=numbers, keeper=numbers, cost=st.sampled_from([0, 9000]))
-    def send(self, number: int, keeper: int, cost: int) -> None:
+    @rule(number=numbers, coordinator=numbers, cost=st.sampled_from([0, 9000]))
+    def send(self, number: int, coordinator: int, cost: int) -> None:
         name = self.names[number]
         span = self.earnings[name].take(self.now)
-        self.flying.append(Handed(name, keeper, span, cost))
+        self.flying.append(Handed(name, coordinator, span, cost))
 
     @rule(position=st.integers(0, 50), arrives=st.booleans())
     def deliver(self, position: int, arrives: bool) -> None:
@@ -109,16 +109,16 @@
             return
         handed = self.flying.pop(position % len(self.flying))
         if arrives:
-            self.hand_over(handed.sender, handed.keeper, handed.span)
+            self.hand_over(handed.sender, handed.coordinator, handed.span)
             if handed.cost:
-                self.decide(handed.keeper, handed.cost)
+                self.decide(handed.coordinator, handed.cost)
 
-    @rule(keeper=numbers, cost=st.sampled_from([900, 9000]))
-    def use_and_give_back(self, keeper: int, cost: int) -> None:
-        if self.decide(keeper, cost):
+    @rule(coordinator=numbers, cost=st.sampled_from([900, 9000]))
+    def use_and_give_back(self, coordinator: int, cost: int) -> None:
+        if self.decide(coordinator, cost):
             self.used.pop()
             self.now += 0.25
-            self.ledgers[keeper].refund(
+            self.ledgers[coordinator].refund(
                 TEAM, self.allowance, self.accrual, cost, self.now
             )
 
@@ -147,18 +147,18 @@
             self.lowered_at = self.now
         self.allowance = self.allowance._replace(rate=rate, burst=rate)
 
-    @rule(keeper=numbers)
-    def sweep(self, keeper: int) -> None:
-        self.ledgers[keeper].remove_full_accounts(self.now)
+    @rule(coordinator=numbers)
+    def sweep(self, coordinator: int) -> None:
+        self.ledgers[coordinator].remove_full_accounts(self.now)
 
-    def hand_over(self, name: str, keeper: int, span: TimeSpan | None) -> None:
-        headcount = self.counts[keeper]
+    def hand_over(self, name: str, coordinator: int, span: TimeSpan | None) -> None:
+        headcount = self.counts[coordinator]
         if span is not None and headcount.counts(name, self.now):
             share = headcount.measure_share(self.now)
-            self.ledgers[keeper].receive(span, share, self.now)
+            self.ledgers[coordinator].receive(span, share, self.now)
 
-    def decide(self, keeper: int, cost: int) -> bool:
-        outcome = self.ledgers[keeper].spend(
+    def decide(self, coordinator: int, cost: int) -> bool:
+        outcome = self.ledgers[coordinator].spend(
             TEAM, self.allowance, self.accrual, cost, 0, 4.0, 0.0, self.now
         )
         if not isinstance(outcome, Granted):
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -17,10 +17,10 @@
     Granted,
     Ledger,
     TimeSpan,
-    find_slot,
-    list_keepers,
+    find_hash_slot,
     measure_cost,
     plan_accrual,
+    rank_coordinators,
 )
 from ashpond.decisions.fleetlinks import Member
 
@@ -233,13 +233,13 @@
         f"i{n}": Member(f"i{n}", "127.0.0.1:1", f"d{n % 4}", 200.0 if n < 8 else 10.0)
         for n in range(90)
     }
-    keepers = list_keepers(0, members)
-    assert len({keeper.failure_domain for keeper in keepers}) == 4
-    assert {keeper.link_mbps for keeper in keepers} == {200.0}
+    coordinators = rank_coordinators(0, members)
+    assert len({coordinator.failure_domain for coordinator in coordinators}) == 4
+    assert {coordinator.link_mbps for coordinator in coordinators} == {200.0}
     backwards = dict(reversed(members.items()))
-    assert list_keepers(0, backwards) == keepers
+    assert rank_coordinators(0, backwards) == coordinators
 
 
 def test_teams_are_spread_over_the_slots() -> None:
-    slots = [find_slot(f"team{n}", 4) for n in range(400)]
-    assert min(slots.count(slot) for slot in range(4)) > 50
+    hash_slots = [find_hash_slot(f"team{n}", 4) for n in range(400)]
+    assert min(hash_slots.count(hash_slot) for hash_slot in range(4)) > 50
