--- a/ashpond/decisions/fleetlinks.py
+++ b/ashpond/decisions/fleetlinks.py
@@ -20,9 +20,9 @@
 from ashpond.decisions.placement import rank_by_rendezvous
 
 # Up to this many instances a full mesh costs less than a hub's detour (instances).
-FLAT_FLEET = 12
+MAX_MESH_MEMBERS = 12
 # Candidates that each member of a group is linked to: the hub and its stand-by.
-CANDIDATES = 2
+HUB_CANDIDATES = 2
 # Groups whose hubs ask the store for all; the second saves the wait when one fails.
 READER_GROUPS = 2
 READERS_KEY = 2
@@ -53,8 +53,8 @@
     :param is_reader: whether the hub of its group asks the store for the whole fleet.
     """
 
-    equals: tuple[Member, ...] = ()
-    hubs: tuple[Member, ...] = ()
+    mesh_peers: tuple[Member, ...] = ()
+    preferred_hubs: tuple[Member, ...] = ()
     other_hubs: tuple[tuple[Member, ...], ...] = ()
     group: str = ""
     is_candidate: bool = False
@@ -67,15 +67,15 @@
 
 
 def plan_links(
-    members: Mapping[str, Member], name: str, mesh_limit: int = FLAT_FLEET
+    members: Mapping[str, Member], name: str, mesh_limit: int = MAX_MESH_MEMBERS
 ) -> Links:
     """Return the links of the instance called ``name``.
 
     :param mesh_limit: up to so many members, each tells all others.
     """
     if len(members) <= mesh_limit or name not in members:
-        return Links(equals=tuple(m for m in members.values() if m.name != name))
-    groups = _form_groups(members)
+        return Links(mesh_peers=tuple(m for m in members.values() if m.name != name))
+    groups = _assign_groups(members)
     links = Links()
     readers = rank_by_rendezvous(READERS_KEY, list(groups))[:READER_GROUPS]
     other_hubs: list[tuple[Member, ...]] = []
@@ -83,10 +83,10 @@
         ranked = rank_by_rendezvous(xxhash.xxh3_64_intdigest(key.encode()), names)
         # A hub sends ten times as much as a member: the widest links go first.
         ranked.sort(key=lambda name: -members[name].link_mbps)
-        first = [members[n] for n in ranked[:CANDIDATES]]
+        first = [members[n] for n in ranked[:HUB_CANDIDATES]]
         if name in names:
             rank = ranked.index(name)
-            is_candidate = rank < CANDIDATES
+            is_candidate = rank < HUB_CANDIDATES
             links = Links(
                 (), tuple(first[:rank]), (), key, is_candidate, key in readers
             )
@@ -95,7 +95,7 @@
     return links._replace(other_hubs=tuple(other_hubs))
 
 
-def _form_groups(members: Mapping[str, Member]) -> dict[str, list[str]]:
+def _assign_groups(members: Mapping[str, Member]) -> dict[str, list[str]]:
     """Split each failure domain into groups of about the fleet's square root.
 
     The instances with the widest links are dealt out evenly: a group without one has a
@@ -108,7 +108,7 @@
     groups: dict[str, list[str]] = {}
     for domain, found in domains.items():
         count = max(1, round(len(found) / size))
-        wide = _list_wide(domain, found)
+        wide = _rank_wide_links(domain, found)
         for member in found:
             if member.name in wide:
                 group = f"{domain}/{wide.index(member.name) % count}"
@@ -118,7 +118,7 @@
     return groups
 
 
-def _list_wide(domain: str, members: list[Member]) -> list[str]:
+def _rank_wide_links(domain: str, members: list[Member]) -> list[str]:
     """Return those with wider links than most of a failure domain, in a fixed order."""
     widths = sorted(member.link_mbps for member in members)
     usual = widths[len(widths) // 2]
--- a/ashpond/gateway/settings.py
+++ b/ashpond/gateway/settings.py
@@ -18,7 +18,7 @@
 from msgspec import Meta
 
 from ashpond.decisions.allowances import AllowanceBounds
-from ashpond.decisions.fleetlinks import FLAT_FLEET
+from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS
 from ashpond.errors import InputProblem, SettingsError
 from ashpond.tables import MAX_SHOWN, load_toml
 
@@ -79,7 +79,7 @@
     metrics_address: str
     store_address: str
     bounds: GatewayBounds = GatewayBounds()
-    mesh_limit: int = FLAT_FLEET
+    mesh_limit: int = MAX_MESH_MEMBERS
     link_mbps: float = 0.0
 
 
--- a/ashpond/news/links.py
+++ b/ashpond/news/links.py
@@ -177,8 +177,8 @@
 
 def list_wanted(links: Links, *, is_hub: bool) -> set[tuple[Audience, Member]]:
     """Return whom an instance links to, and as what."""
-    wanted = {(Audience.EQUAL, member) for member in links.equals}
-    wanted |= {(Audience.HUB, member) for member in links.hubs}
+    wanted = {(Audience.EQUAL, member) for member in links.mesh_peers}
+    wanted |= {(Audience.HUB, member) for member in links.preferred_hubs}
     if is_hub:
         others = [m for candidates in links.other_hubs for m in candidates]
         wanted |= {(Audience.OTHER_HUB, member) for member in others}
--- a/ashpond/news/room.py
+++ b/ashpond/news/room.py
@@ -22,7 +22,7 @@
 from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import (
-    FLAT_FLEET,
+    MAX_MESH_MEMBERS,
     Links,
     Member,
     list_names,
@@ -77,7 +77,7 @@
         log: DecisionLog,
         handlers: NewsHandlers,
         window: float,
-        mesh_limit: int = FLAT_FLEET,
+        mesh_limit: int = MAX_MESH_MEMBERS,
     ):
         self.members = members
         self.view = FleetView(window)
@@ -161,10 +161,12 @@
         members = {**self.members.by_name, own.name: own}
         links = plan_links(members, self._name, self._mesh_limit)
         if links.group != self.links.group:
-            self._log.note("news_group", group=links.group, hubs=list_names(links.hubs))
+            self._log.note(
+                "news_group", group=links.group, hubs=list_names(links.preferred_hubs)
+            )
             self._grouped_at = trio.current_time()
         self.links = links
-        self.view.set_hubs(member.name for member in links.hubs)
+        self.view.set_hubs(member.name for member in links.preferred_hubs)
         self._is_hub = self._should_act_as_hub(trio.current_time())
         wanted = list_wanted(links, is_hub=self._is_hub)
         for key in self._outgoing.keys() - wanted:
@@ -178,7 +180,7 @@
         """Return whether this instance should act as the hub of its group."""
         if not self.links.group or not self.links.is_candidate:
             return False
-        if not self.links.hubs:
+        if not self.links.preferred_hubs:
             return True
         waited = now - self._grouped_at
         return waited > HEARTBEAT_SECONDS * 2 and self.view.find_hub(now) is None
@@ -189,7 +191,7 @@
         self._keep_counted(now)
         if self._should_act_as_hub(now) != self._is_hub:
             self.adjust_links()
-            hubs = list_names(self.links.hubs)
+            hubs = list_names(self.links.preferred_hubs)
             self._log.note("news_hub", is_hub=self._is_hub, hubs=hubs)
 
     async def _feed_peer(self, link: Link, address: str) -> None:
--- a/tests/endings.py
+++ b/tests/endings.py
@@ -11,7 +11,7 @@
 import orjson
 import trio
 
-from ashpond.decisions.fleetlinks import FLAT_FLEET
+from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.rows import OPERATOR_TABLE, SERVERS_TABLE
 from tests.ports import find_free_port
@@ -58,7 +58,7 @@
         instances: int,
         servers: int,
         kills: Callable[[bytes], bool],
-        mesh_limit: int = FLAT_FLEET,
+        mesh_limit: int = MAX_MESH_MEMBERS,
         limit: dict[str, object] | None = None,
     ):
         self._limit = limit or {}
--- a/tests/newsroom.py
+++ b/tests/newsroom.py
@@ -10,7 +10,7 @@
 from ashpond.controllers.feeds import Feed, Follower, TableUpdate
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.cacheindex import CacheEntry
-from ashpond.decisions.fleetlinks import FLAT_FLEET, Member
+from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS, Member
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.gateway.decisionlog import DecisionLog
@@ -49,7 +49,7 @@
         store: MemoryStore,
         port: int,
         domain: str = "d",
-        mesh_limit: int = FLAT_FLEET,
+        mesh_limit: int = MAX_MESH_MEMBERS,
     ):
         self.table = make_table(make_server("a"))
         self.notices: list[ServerNotice] = []
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -12,7 +12,7 @@
 import trio
 
 from ashpond.decisions.declared import IngressLimits
-from ashpond.decisions.fleetlinks import FLAT_FLEET
+from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.rows import OPERATOR_TABLE, SERVERS_TABLE
 from tests.row_builders import ROUTE, SERVER
@@ -67,7 +67,7 @@
         self.servers: dict[str, Server] = {}
         self._nursery: trio.Nursery | None = None
         # Every other seed plays instances in groups, whose readers ask the store.
-        self._mesh_limit = FLAT_FLEET if seed % 2 else 1
+        self._mesh_limit = MAX_MESH_MEMBERS if seed % 2 else 1
         self._instance_count = self.play.instances or (3 if seed % 2 else 5)
         self._version = 1
         self._requests = 0
--- a/tests/test_fleetlinks.py
+++ b/tests/test_fleetlinks.py
@@ -4,7 +4,12 @@
 
 from hypothesis import given, strategies as st
 
-from ashpond.decisions.fleetlinks import CANDIDATES, FLAT_FLEET, Member, plan_links
+from ashpond.decisions.fleetlinks import (
+    HUB_CANDIDATES,
+    MAX_MESH_MEMBERS,
+    Member,
+    plan_links,
+)
 
 
 def make_members(count: int, domains: int = 4) -> dict[str, Member]:
@@ -15,20 +20,20 @@
 
 
 def test_few_instances_all_tell_each_other() -> None:
-    members = make_members(FLAT_FLEET)
+    members = make_members(MAX_MESH_MEMBERS)
     for name in members:
         links = plan_links(members, name)
-        assert {m.name for m in links.equals} == members.keys() - {name}
-        assert not links.hubs
+        assert {m.name for m in links.mesh_peers} == members.keys() - {name}
+        assert not links.preferred_hubs
         assert not links.other_hubs
 
 
 def test_an_instance_that_is_not_listed_yet_tells_all() -> None:
     members = make_members(30)
-    assert len(plan_links(members, "new").equals) == 30
+    assert len(plan_links(members, "new").mesh_peers) == 30
 
 
-@given(count=st.integers(FLAT_FLEET + 1, 200), domains=st.integers(1, 11))
+@given(count=st.integers(MAX_MESH_MEMBERS + 1, 200), domains=st.integers(1, 11))
 def test_groups_have_one_first_choice_and_reach_all_others(
     count: int, domains: int
 ) -> None:
@@ -38,13 +43,13 @@
     for group in groups:
         own = [name for name in members if links[name].group == group]
         assert len({members[name].failure_domain for name in own}) == 1
-        first = [name for name in own if not links[name].hubs]
+        first = [name for name in own if not links[name].preferred_hubs]
         assert len(first) == 1
         for name in own:
             if name != first[0]:
-                assert links[name].hubs[0].name == first[0]
+                assert links[name].preferred_hubs[0].name == first[0]
         candidates = [name for name in own if links[name].is_candidate]
-        assert len(candidates) == min(CANDIDATES, len(own))
+        assert len(candidates) == min(HUB_CANDIDATES, len(own))
         for name in members:
             if links[name].group != group:
                 told = [[m.name for m in g] for g in links[name].other_hubs]
@@ -55,7 +60,9 @@
     def count_most(size: int) -> int:
         members = make_members(size, domains=5)
         links = [plan_links(members, name) for name in members]
-        return max(len(link.hubs) + sum(map(len, link.other_hubs)) for link in links)
+        return max(
+            len(link.preferred_hubs) + sum(map(len, link.other_hubs)) for link in links
+        )
 
     assert count_most(390) < 3 * count_most(78)
     assert count_most(390) < 60
@@ -81,7 +88,7 @@
     for name in members:
         group = [n for n in members if links[n].group == links[name].group]
         if any(n in wide for n in group):
-            hub = next(n for n in group if not links[n].hubs)
+            hub = next(n for n in group if not links[n].preferred_hubs)
             assert hub in wide
 
 
@@ -96,5 +103,5 @@
     links = {name: plan_links(members, name) for name in members}
     groups = {link.group for link in links.values()}
     assert len(groups) == 8
-    hubs = [name for name in members if not links[name].hubs]
+    hubs = [name for name in members if not links[name].preferred_hubs]
     assert {members[hub].link_mbps for hub in hubs} == {100.0}
