--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -45,7 +45,7 @@
     plan_accrual,
 )
 from ashpond.decisions.fleetlinks import Member
-from ashpond.decisions.headcount import Headcount
+from ashpond.decisions.instancecount import InstanceCount
 from ashpond.decisions.ratelimits import SERVER_BOUNDS, make_allowance
 from ashpond.outcomes import Refusal
 
@@ -113,7 +113,7 @@
         self._links_needed_until = now
         # An earlier life of this instance earned what was before; no one else does.
         self._accrues_since = now
-        self._headcount = Headcount(now)
+        self._instance_count = InstanceCount(now)
         self._ledgers: dict[tuple[int, int], Ledger] = {}
         self._links: list[CoordinatorLink] = []
         self._last_declaration: Declaration | None = None
@@ -242,8 +242,8 @@
         ledger = self._get_ledger(message.slots, message.slot)
         accrued = decode_earned(message)
         name = message.sender.rpartition("#")[0]
-        if accrued is not None and self._headcount.counts(name, now):
-            ledger.receive(accrued, self._headcount.measure_share(now), now)
+        if accrued is not None and self._instance_count.is_counted(name, now):
+            ledger.receive(accrued, self._instance_count.compute_share(now), now)
         self._take_returns(ledger, returned, now)
         verdicts = [self._decide(ledger, request, now) for request in requests]
         if verdicts or message.wants_time:
@@ -268,7 +268,7 @@
     ) -> None:
         accrued = link.accrued_time.take(now)
         if accrued is not None:
-            ledger.receive(accrued, self._headcount.measure_share(now), now)
+            ledger.receive(accrued, self._instance_count.compute_share(now), now)
 
     def _decide(
         self, ledger: Ledger, request: AllowanceRequest, now: float
@@ -350,7 +350,9 @@
     def _adjust(self) -> None:
         """Link to the keepers that the present members call for."""
         now = trio.current_time()
-        self._headcount.note({*self._members.by_name, self._members.own.name}, now)
+        self._instance_count.update(
+            {*self._members.by_name, self._members.own.name}, now
+        )
         for ledger in self._ledgers.values():
             ledger.remove_full_accounts(now)
         if self._has_server_limits():
@@ -397,7 +399,7 @@
         uses = sorted(self._uses.items(), key=lambda entry: -sum(entry[1]))
         return {
             "keepers": [link.coordinator for link in self._links],
-            "share_earned": round(self._headcount.measure_share(now), 5),
+            "share_earned": round(self._instance_count.compute_share(now), 5),
             "kept_here": {
                 f"{hash_slot}/{hash_slots}": {
                     "share": round(ledger.compute_received_share(now), 3),
--- a/ashpond/decisions/headcount.py
+++ b/ashpond/decisions/instancecount.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Headcount"]
+__all__ = ["InstanceCount"]
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 JOINING_SECONDS = 30.0
 
 
-class Headcount:
+class InstanceCount:
     """The instances that earn time, as one of them knows them.
 
     What it finds in its own first seconds was there before it. The more there are, the
@@ -24,19 +24,19 @@
         self._started_at = now
         self._seen_at: dict[str, float] = {}
 
-    def note(self, names: Iterable[str], now: float) -> None:
+    def update(self, names: Iterable[str], now: float) -> None:
         """Take the instances that there are."""
         self._seen_at = {name: self._seen_at.get(name, now) for name in names}
 
-    def counts(self, name: str, now: float) -> bool:
+    def is_counted(self, name: str, now: float) -> bool:
         """Return whether an instance earns time."""
         seen_at = self._seen_at.get(name)
         if seen_at is None:
             return False
-        is_young = seen_at - self._started_at < JOINING_SECONDS
-        return is_young or now - seen_at >= JOINING_SECONDS
+        was_present = seen_at - self._started_at < JOINING_SECONDS
+        return was_present or now - seen_at >= JOINING_SECONDS
 
-    def measure_share(self, now: float) -> float:
+    def compute_share(self, now: float) -> float:
         """Return the part of the fleet's time that each of them earns."""
-        count = sum(1 for name in self._seen_at if self.counts(name, now))
+        count = sum(1 for name in self._seen_at if self.is_counted(name, now))
         return 1.0 / max(1, count)
--- a/tests/test_allowance_machine.py
+++ b/tests/test_allowance_machine.py
@@ -24,7 +24,7 @@
     TimeSpan,
     plan_accrual,
 )
-from ashpond.decisions.headcount import JOINING_SECONDS, Headcount
+from ashpond.decisions.instancecount import JOINING_SECONDS, InstanceCount
 from tests.mutants import Mutant, expect_caught
 
 BOUNDS = AllowanceBounds(8.0, 0.1, 20_000.0)
@@ -54,14 +54,14 @@
         self.lowered_at = float("-inf")
         self.earnings = {name: AccruedTime(self.now) for name in self.names}
         self.ledgers = [Ledger() for _ in range(INSTANCES)]
-        self.counts = [self.make_headcount() for _ in range(INSTANCES)]
+        self.counts = [self.make_instance_count() for _ in range(INSTANCES)]
         self.flying: list[Handed] = []
         self.used: list[tuple[float, int]] = []
 
-    def make_headcount(self) -> Headcount:
-        headcount = Headcount(self.now - KNOWN_BEFORE_SECONDS)
-        headcount.note(self.names, self.now - KNOWN_BEFORE_SECONDS)
-        return headcount
+    def make_instance_count(self) -> InstanceCount:
+        instance_count = InstanceCount(self.now - KNOWN_BEFORE_SECONDS)
+        instance_count.update(self.names, self.now - KNOWN_BEFORE_SECONDS)
+        return instance_count
 
     @property
     def accrual(self) -> Accrual:
@@ -137,9 +137,9 @@
             name = f"new{number}"
             self.names.append(name)
             self.earnings[name] = AccruedTime(self.now)
-        for number, headcount in enumerate(self.counts):
+        for number, instance_count in enumerate(self.counts):
             if number not in unaware:
-                headcount.note(self.names, self.now)
+                instance_count.update(self.names, self.now)
 
     @rule(rate=st.sampled_from([RATE, RATE / 4]))
     def change_limit(self, rate: float) -> None:
@@ -152,9 +152,9 @@
         self.ledgers[coordinator].remove_full_accounts(self.now)
 
     def hand_over(self, name: str, coordinator: int, span: TimeSpan | None) -> None:
-        headcount = self.counts[coordinator]
-        if span is not None and headcount.counts(name, self.now):
-            share = headcount.measure_share(self.now)
+        instance_count = self.counts[coordinator]
+        if span is not None and instance_count.is_counted(name, self.now):
+            share = instance_count.compute_share(self.now)
             self.ledgers[coordinator].receive(span, share, self.now)
 
     def decide(self, coordinator: int, cost: int) -> bool:
@@ -187,7 +187,7 @@
     return TimeSpan(now - 1.0, now)
 
 
-def count_at_once(self: Headcount, name: str, now: float) -> bool:
+def count_at_once(self: InstanceCount, name: str, now: float) -> bool:
     return name in self._seen_at
 
 
@@ -195,7 +195,7 @@
     Mutant("nothing lapses", Ledger, "_compute_capacity", save_for_ever),
     Mutant("time is handed over twice", AccruedTime, "take", earn_since_ever),
     Mutant("too much is saved", allowances, "MARGIN_SECONDS", -3.0),
-    Mutant("who joins earns at once", Headcount, "counts", count_at_once),
+    Mutant("who joins earns at once", InstanceCount, "is_counted", count_at_once),
 ]
 
 
@@ -205,26 +205,26 @@
 
 
 def test_those_that_join_earn_nothing_until_all_can_know_of_them() -> None:
-    headcount = Headcount(0.0)
-    headcount.note(["a", "b"], 1.0)
-    headcount.note(["a", "b", "c"], 100.0)
-    assert headcount.measure_share(101.0) == 0.5
-    assert not headcount.counts("c", 101.0)
+    instance_count = InstanceCount(0.0)
+    instance_count.update(["a", "b"], 1.0)
+    instance_count.update(["a", "b", "c"], 100.0)
+    assert instance_count.compute_share(101.0) == 0.5
+    assert not instance_count.is_counted("c", 101.0)
     later = 100.0 + JOINING_SECONDS
-    assert headcount.counts("c", later)
-    assert headcount.measure_share(later) == pytest.approx(1 / 3)
+    assert instance_count.is_counted("c", later)
+    assert instance_count.compute_share(later) == pytest.approx(1 / 3)
 
 
 def test_what_an_instance_finds_at_its_start_counts() -> None:
-    headcount = Headcount(50.0)
-    headcount.note(["a"], 51.0)
-    headcount.note(["a", "b"], 55.0)
-    assert headcount.measure_share(56.0) == 0.5
+    instance_count = InstanceCount(50.0)
+    instance_count.update(["a"], 51.0)
+    instance_count.update(["a", "b"], 55.0)
+    assert instance_count.compute_share(56.0) == 0.5
 
 
 def test_those_that_have_left_earn_nothing() -> None:
-    headcount = Headcount(0.0)
-    headcount.note(["a", "b"], 1.0)
-    headcount.note(["a"], 100.0)
-    assert headcount.measure_share(101.0) == 1.0
-    assert not headcount.counts("b", 101.0)
+    instance_count = InstanceCount(0.0)
+    instance_count.update(["a", "b"], 1.0)
+    instance_count.update(["a"], 100.0)
+    assert instance_count.compute_share(101.0) == 1.0
+    assert not instance_count.is_counted("b", 101.0)
