--- a/ashpond/controllers/admission.py
+++ b/ashpond/controllers/admission.py
@@ -14,7 +14,7 @@
     Admitted,
     PriorityClass,
     Ticket,
-    sum_capacity,
+    compute_capacity,
 )
 from ashpond.outcomes import Refusal
 
@@ -123,7 +123,7 @@
 
     def _withdraw(self, queue: AdmissionQueue, ticket: Ticket, waiter: _Waiter) -> None:
         if waiter.decided.is_set() and waiter.refusal is None:
-            queue.release(queue.work_seconds, trio.current_time())
+            queue.release(queue.run_seconds, trio.current_time())
             self._start_ready(queue)
         else:
             queue.abandon(ticket)
@@ -134,7 +134,7 @@
         if queue is not None:
             now = trio.current_time()
             queue.release(now - slot.started_at, now)
-            queue.pressure = self._engines.estimate_wait(slot.service)
+            queue.expected_wait = self._engines.estimate_wait(slot.service)
             self._start_ready(queue)
 
     def _start_ready(self, queue: AdmissionQueue) -> None:
@@ -149,7 +149,7 @@
         }
         for service in declared.services:
             if service in self._queues:
-                self._queues[service].declare(priorities)
+                self._queues[service].set_priorities(priorities)
             else:
                 self._queues[service] = AdmissionQueue(priorities, self._max_queue)
         self._refresh()
@@ -163,9 +163,9 @@
             places = self._engines.list_slot_counts(
                 name, service.concurrency_per_server
             )
-            queue.capacity = sum_capacity(places, instances)
-            queue.servers = max(1, len(places)) / instances
-            queue.pressure = self._engines.estimate_wait(name)
+            queue.capacity = compute_capacity(places, instances)
+            queue.server_share = max(1, len(places)) / instances
+            queue.expected_wait = self._engines.estimate_wait(name)
             self._start_ready(queue)
             self._metrics.running.set({"service": name}, queue.running)
             self._metrics.waiting.set({"service": name}, queue.waiting)
--- a/ashpond/decisions/admission.py
+++ b/ashpond/decisions/admission.py
@@ -17,16 +17,16 @@
 
 from ashpond.outcomes import Refusal
 
-DEFAULT_WORK_SECONDS = 0.3
-WORK_SMOOTHING = 0.05
+DEFAULT_RUN_SECONDS = 0.3
+SMOOTHING = 0.05
 # How long new work may expect to wait at the best server. Beyond that it waits
 # here, where it can still be refused, or be overtaken by more urgent work.
-URGENT_PRESSURE_SECONDS = 0.6
-PRESSURE_SECONDS = 0.3
+URGENT_MAX_WAIT_SECONDS = 0.6
+MAX_WAIT_SECONDS = 0.3
 SHARE_DECAY = 0.98
 URGENT_RESERVE = 0.2
-MAX_COME_BACK_SECONDS = 30.0
-MIN_COME_BACK_SECONDS = 0.1
+MAX_RETRY_SECONDS = 30.0
+MIN_RETRY_SECONDS = 0.1
 OVERLOADED_STATUS = 503
 
 
@@ -58,29 +58,29 @@
     shed: tuple[Ticket, ...] = ()
 
 
-class _Class:
+class _ClassQueue:
     """The waiting requests of one priority."""
 
     def __init__(self, settings: PriorityClass):
         self.settings = settings
         self.teams: dict[str, deque[tuple[float, Ticket]]] = {}
-        self.finish: dict[str, float] = {}
-        self.virtual = 0.0
+        self.finish_times: dict[str, float] = {}
+        self.virtual_time = 0.0
         self.waiting = 0
         self.served = 0.0
-        self.come_back = 0.0
+        self.next_retry_at = 0.0
 
     def push(self, ticket: Ticket) -> None:
-        start = max(self.virtual, self.finish.get(ticket.team, 0.0))
-        self.finish[ticket.team] = start + ticket.cost / ticket.weight
+        start = max(self.virtual_time, self.finish_times.get(ticket.team, 0.0))
+        self.finish_times[ticket.team] = start + ticket.cost / ticket.weight
         self.teams.setdefault(ticket.team, deque()).append((start, ticket))
         self.waiting += 1
 
     def pop(self) -> Ticket:
         team = min(self.teams, key=lambda name: self.teams[name][0][0])
         start, ticket = self.teams[team].popleft()
-        self.virtual = max(self.virtual, start)
-        self._forget_if_idle(team)
+        self.virtual_time = max(self.virtual_time, start)
+        self._remove_if_idle(team)
         self.waiting -= 1
         return ticket
 
@@ -89,7 +89,7 @@
         for entry in queue:
             if entry[1] is ticket:
                 queue.remove(entry)
-                self._forget_if_idle(ticket.team)
+                self._remove_if_idle(ticket.team)
                 self.waiting -= 1
                 return True
         return False
@@ -97,17 +97,17 @@
     def pop_newest(self) -> Ticket:
         team = max(self.teams, key=lambda name: self.teams[name][-1][0])
         start, ticket = self.teams[team].pop()
-        self.finish[team] = start
-        self._forget_if_idle(team)
+        self.finish_times[team] = start
+        self._remove_if_idle(team)
         self.waiting -= 1
         return ticket
 
-    def _forget_if_idle(self, team: str) -> None:
+    def _remove_if_idle(self, team: str) -> None:
         if not self.teams[team]:
             del self.teams[team]
         if not self.teams:
-            self.finish.clear()
-            self.virtual = 0.0
+            self.finish_times.clear()
+            self.virtual_time = 0.0
 
 
 class AdmissionQueue:
@@ -120,19 +120,19 @@
     def __init__(self, priorities: dict[str, PriorityClass], max_waiting: int):
         self.capacity = 1
         self.running = 0
-        self.work_seconds = DEFAULT_WORK_SECONDS
-        self.pace_seconds = 0.0
-        self.pressure = 0.0
-        self.servers = 1.0
+        self.run_seconds = DEFAULT_RUN_SECONDS
+        self.release_interval = 0.0
+        self.expected_wait = 0.0
+        self.server_share = 1.0
         self._last_release = 0.0
         self.max_waiting = max_waiting
-        self._classes: dict[str, _Class] = {}
-        self.declare(priorities)
+        self._classes: dict[str, _ClassQueue] = {}
+        self.set_priorities(priorities)
 
-    def declare(self, priorities: dict[str, PriorityClass]) -> None:
+    def set_priorities(self, priorities: dict[str, PriorityClass]) -> None:
         """Take over a new set of priorities; waiting requests keep theirs."""
         for name, settings in priorities.items():
-            known = self._classes.setdefault(name, _Class(settings))
+            known = self._classes.setdefault(name, _ClassQueue(settings))
             known.settings = settings
         by_rank = sorted(self._classes.values(), key=lambda c: c.settings.rank)
         self._ordered = by_rank
@@ -166,25 +166,25 @@
     def refuse(self, ticket: Ticket, now: float) -> Refusal:
         """Return the final answer for a request that will not start."""
         own = self._classes[ticket.priority]
-        pace = self._measure_pace()
-        soonest = now + max(MIN_COME_BACK_SECONDS, self._predict_wait(own))
+        interval = self._estimate_interval()
+        soonest = now + max(MIN_RETRY_SECONDS, self._predict_wait(own))
         # Each refused caller gets a later slot, or all would return together.
-        own.come_back = max(own.come_back, soonest) + pace
-        wait = min(own.come_back - now, MAX_COME_BACK_SECONDS)
-        own.come_back = now + wait
+        own.next_retry_at = max(own.next_retry_at, soonest) + interval
+        wait = min(own.next_retry_at - now, MAX_RETRY_SECONDS)
+        own.next_retry_at = now + wait
         text = "the service is overloaded"
         return Refusal(OVERLOADED_STATUS, "overloaded", text, retry_after=wait)
 
-    def release(self, work_seconds: float, now: float) -> None:
+    def release(self, run_seconds: float, now: float) -> None:
         """Give back the place of a request that ended after ``work_seconds``."""
         self.running -= 1
-        self.work_seconds += WORK_SMOOTHING * (work_seconds - self.work_seconds)
+        self.run_seconds += SMOOTHING * (run_seconds - self.run_seconds)
         interval = now - self._last_release
         self._last_release = now
         if self.waiting:
-            self.pace_seconds += WORK_SMOOTHING * (interval - self.pace_seconds)
+            self.release_interval += SMOOTHING * (interval - self.release_interval)
         else:
-            self.pace_seconds = 0.0
+            self.release_interval = 0.0
 
     def start_ready(self) -> list[Ticket]:
         """Start as many waiting requests as there are places for."""
@@ -199,26 +199,26 @@
         """Take a waiting request out; return whether it still waited."""
         return self._classes[ticket.priority].remove(ticket)
 
-    def _start(self, own: _Class, ticket: Ticket) -> None:
+    def _start(self, own: _ClassQueue, ticket: Ticket) -> None:
         self.running += 1
         for entry in self._ordered:
             entry.served *= SHARE_DECAY
         own.served += ticket.cost
-        self.pressure += ticket.cost / self.servers
+        self.expected_wait += ticket.cost / self.server_share
 
-    def _may_start(self, own: _Class) -> bool:
+    def _may_start(self, own: _ClassQueue) -> bool:
         if own is self._ordered[0]:
-            return self._has_room()
+            return self._may_start_urgent()
         reserve = math.floor(self.capacity * URGENT_RESERVE)
-        has_place = self.running < self.capacity - reserve
-        return has_place and self.pressure <= PRESSURE_SECONDS
+        has_slot = self.running < self.capacity - reserve
+        return has_slot and self.expected_wait <= MAX_WAIT_SECONDS
 
-    def _has_room(self) -> bool:
+    def _may_start_urgent(self) -> bool:
         is_free = self.running < self.capacity
-        return is_free and self.pressure <= URGENT_PRESSURE_SECONDS
+        return is_free and self.expected_wait <= URGENT_MAX_WAIT_SECONDS
 
-    def _choose_class(self) -> _Class | None:
-        if not self._has_room():
+    def _choose_class(self) -> _ClassQueue | None:
+        if not self._may_start_urgent():
             return None
         total = sum(entry.served for entry in self._ordered)
         for entry in self._ordered[1:]:
@@ -228,23 +228,23 @@
         ready = [c for c in self._ordered if c.waiting and self._may_start(c)]
         return ready[0] if ready else None
 
-    def _count_ahead(self, own: _Class) -> int:
+    def _count_ahead(self, own: _ClassQueue) -> int:
         return sum(
             entry.waiting
             for entry in self._ordered
             if entry.settings.rank <= own.settings.rank
         )
 
-    def _predict_wait(self, own: _Class) -> float:
-        pace = self._measure_pace()
-        free_at = 0.0 if self._may_start(own) else pace
-        return free_at + self._count_ahead(own) * pace
+    def _predict_wait(self, own: _ClassQueue) -> float:
+        interval = self._estimate_interval()
+        free_at = 0.0 if self._may_start(own) else interval
+        return free_at + self._count_ahead(own) * interval
 
-    def _measure_pace(self) -> float:
+    def _estimate_interval(self) -> float:
         """Return the seconds between two starts while requests wait."""
-        return max(self.pace_seconds, self.work_seconds / self.capacity)
+        return max(self.release_interval, self.run_seconds / self.capacity)
 
 
-def sum_capacity(limits: Iterable[int], instances: int) -> int:
+def compute_capacity(limits: Iterable[int], instances: int) -> int:
     """Return one instance's part of the places that all engines offer."""
     return max(1, math.ceil(sum(limits) / max(1, instances)))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -43,16 +43,16 @@
     @rule(
         team=st.sampled_from("ab"),
         priority=st.sampled_from(["urgent", "low"]),
-        patience=st.sampled_from([0.01, 1.0, 1e6]),
+        deadline=st.sampled_from([0.01, 1.0, 1e6]),
     )
-    def offer(self, team: str, priority: str, patience: float) -> None:
+    def offer(self, team: str, priority: str, deadline: float) -> None:
         self.count += 1
         ticket = make_ticket(
-            self.count, team=team, priority=priority, deadline=patience
+            self.count, team=team, priority=priority, deadline=deadline
         )
         low_waits = any(t.priority == "low" for t in self.waiting)
         full = len(self.waiting) >= 6
-        self.queue.pressure = 0.0
+        self.queue.expected_wait = 0.0
         outcome = self.queue.offer(ticket, 0.0)
         if isinstance(outcome, Admitted):
             self.running += 1
@@ -65,7 +65,7 @@
             assert isinstance(outcome, Refusal)
             assert outcome.run is RunState.NOT_RUN
             assert outcome.retry_after > 0
-            if priority == "urgent" and patience == 1e6:
+            if priority == "urgent" and deadline == 1e6:
                 assert full and not low_waits
 
     @precondition(lambda self: self.running)
@@ -88,7 +88,7 @@
         self.start()
 
     def start(self) -> None:
-        self.queue.pressure = 0.0
+        self.queue.expected_wait = 0.0
         for ticket in self.queue.start_ready():
             self.waiting.remove(ticket)
             self.running += 1
@@ -117,14 +117,14 @@
 def fill(queue: AdmissionQueue, count: int) -> None:
     for number in range(count):
         assert isinstance(queue.offer(make_ticket(-number - 1), 0.0), Admitted)
-        queue.pressure = 0.0
+        queue.expected_wait = 0.0
 
 
 def run_through(queue: AdmissionQueue, count: int) -> list[Ticket]:
     started: list[Ticket] = []
     for _ in range(count):
         queue.release(1.0, 0.0)
-        queue.pressure = 0.0
+        queue.expected_wait = 0.0
         started.extend(queue.start_ready())
     return started
 
@@ -165,12 +165,12 @@
     priorities = PRIORITIES | {"low": PriorityClass(1, 0.0)}
     queue = AdmissionQueue(priorities, max_waiting=10)
     queue.capacity = 5
-    queue.pressure = 0.4
+    queue.expected_wait = 0.4
     assert isinstance(queue.offer(make_ticket(1, priority="low"), 0.0), Queued)
     assert isinstance(queue.offer(make_ticket(2), 0.0), Admitted)
-    queue.pressure = 1.0
+    queue.expected_wait = 1.0
     assert isinstance(queue.offer(make_ticket(3), 0.0), Queued)
-    queue.pressure = 0.0
+    queue.expected_wait = 0.0
     assert [ticket.number for ticket in queue.start_ready()] == [3]
 
 
@@ -181,7 +181,7 @@
     for number in range(3):
         assert isinstance(queue.offer(make_ticket(number), 100.0), Queued)
     queue.release(0.1, 100.1)
-    assert queue.pace_seconds < 0.1
+    assert queue.release_interval < 0.1
 
 
 def test_refused_callers_are_told_to_come_back_one_after_another():
