--- a/ashpond/controllers/members.py
+++ b/ashpond/controllers/members.py
@@ -170,7 +170,7 @@
                     await self._wake.wait()
         finally:
             # What was on its way may not have arrived, whoever ended the connection.
-            self.table.forget_link(address)
+            self.table.remove_link(address)
             await stream.aclose()
 
     async def _exchange(self, address: str, stream: PeerStream) -> None:
@@ -184,13 +184,13 @@
 
     def collect_facts(self, link: str) -> Facts:
         """Return what the peer behind ``link`` has not heard from here."""
-        facts = self.table.collect_news(link)
+        facts = self.table.collect_updates(link)
         return Facts(self.address, [list(fact) for fact in facts])
 
     def take_facts(self, message: Facts) -> None:
         """Take in a peer's facts; ones of the wrong form are passed over."""
         facts = [fact for item in message.facts if (fact := parse_fact(item))]
-        self.table.note_known(message.sender, facts)
+        self.table.mark_known(message.sender, facts)
         for fact in facts:
             if fact.origin == self.address:
                 continue
--- a/ashpond/controllers/peers.py
+++ b/ashpond/controllers/peers.py
@@ -85,7 +85,7 @@
         finally:
             # What was on its way may not have arrived, whoever ended the connection.
             for sender in senders:
-                self._members.table.forget_link(sender)
+                self._members.table.remove_link(sender)
             await stream.aclose()
 
     async def _answer(self, stream: PeerStream, message: PeerMessage) -> None:
--- a/ashpond/decisions/membership.py
+++ b/ashpond/decisions/membership.py
@@ -44,8 +44,8 @@
     def __init__(self, own: str):
         self.own = own
         self._facts: dict[str, Fact] = {}
-        self._heard_at: dict[str, float] = {}
-        self._told: dict[str, dict[str, tuple[int, int]]] = {}
+        self._received_at: dict[str, float] = {}
+        self._sent: dict[str, dict[str, tuple[int, int]]] = {}
 
     def put(self, fact: Fact, now: float) -> bool:
         """Take a fact in; return whether it was news."""
@@ -53,7 +53,7 @@
         if known is not None and known.order >= fact.order:
             return False
         self._facts[fact.origin] = fact
-        self._heard_at[fact.origin] = now
+        self._received_at[fact.origin] = now
         return True
 
     def get(self, origin: str) -> Fact | None:
@@ -66,28 +66,28 @@
         return [
             fact
             for origin, fact in self._facts.items()
-            if origin != self.own and self._heard_at[origin] > oldest
+            if origin != self.own and self._received_at[origin] > oldest
         ]
 
-    def collect_news(self, link: str) -> list[Fact]:
+    def collect_updates(self, link: str) -> list[Fact]:
         """Return the facts that the peer behind ``link`` has not had from here."""
-        told = self._told.setdefault(link, {})
-        news = []
+        sent = self._sent.setdefault(link, {})
+        updates = []
         for origin, fact in self._facts.items():
-            if origin != link and told.get(origin, (-1, -1)) < fact.order:
-                told[origin] = fact.order
-                news.append(fact)
-        return news
+            if origin != link and sent.get(origin, (-1, -1)) < fact.order:
+                sent[origin] = fact.order
+                updates.append(fact)
+        return updates
 
-    def note_known(self, link: str, facts: Iterable[Fact]) -> None:
+    def mark_known(self, link: str, facts: Iterable[Fact]) -> None:
         """Record that the peer behind ``link`` has these facts: it sent them."""
-        told = self._told.setdefault(link, {})
+        sent = self._sent.setdefault(link, {})
         for fact in facts:
-            told[fact.origin] = max(told.get(fact.origin, (-1, -1)), fact.order)
+            sent[fact.origin] = max(sent.get(fact.origin, (-1, -1)), fact.order)
 
-    def forget_link(self, link: str) -> None:
+    def remove_link(self, link: str) -> None:
         """Drop what a closed link was told; a new one starts from nothing."""
-        self._told.pop(link, None)
+        self._sent.pop(link, None)
 
     def expire(self, now: float, keep: Iterable[str]) -> list[str]:
         """Drop origins not heard of for long and not in ``keep``."""
@@ -95,15 +95,15 @@
         oldest = now - 2 * FACT_LIFETIME_SECONDS
         gone = [
             origin
-            for origin, heard in self._heard_at.items()
-            if origin not in kept and heard < oldest
+            for origin, received_at in self._received_at.items()
+            if origin not in kept and received_at < oldest
         ]
         for origin in gone:
             del self._facts[origin]
-            del self._heard_at[origin]
-            self._told.pop(origin, None)
-            for told in self._told.values():
-                told.pop(origin, None)
+            del self._received_at[origin]
+            self._sent.pop(origin, None)
+            for sent in self._sent.values():
+                sent.pop(origin, None)
         return gone
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -148,8 +148,8 @@
         for name in order.sample(names, size):
             for link in choose_links(name, names, 3):
                 for one, other in ((name, link), (link, name)):
-                    news = tables[one].collect_news(other)
-                    tables[other].note_known(one, news)
+                    news = tables[one].collect_updates(other)
+                    tables[other].mark_known(one, news)
                     for fact in news:
                         tables[other].put(fact, 0.0)
     assert all(tables[name].get(names[0]) is not None for name in names)
@@ -180,7 +180,7 @@
     for number in range(50):
         origin = f"10.0.0.{number}:7"
         table.put(Fact(origin, 1, 1, {}), 0.0)
-        table.collect_news(origin)
+        table.collect_updates(origin)
     gone = table.expire(1000.0, keep=[])
     assert len(gone) == 50
     assert table.list_others(0.0) == []
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -179,7 +179,7 @@
         for item in msgpack.unpackb(packed):
             fact = Fact(*item)._replace(sequence=sequence)
             table.put(fact, 0.0)
-        table.collect_news("link")
+        table.collect_updates("link")
 
     return time_per_call(take, 20) / 400
 
