--- a/ashpond/controllers/limits.py
+++ b/ashpond/controllers/limits.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ashpond.decisions.quotas import TokenBucket, share_limit
+from ashpond.decisions.quotas import TokenBucket, compute_limit_share
 
 if TYPE_CHECKING:
     from ashpond.configuration import TeamConfig
@@ -61,12 +61,12 @@
                 self._demand.pop(name, None)
                 continue
             bucket = self._buckets[name]
-            rate = bucket.read_demand() / REDISTRIBUTION_SECONDS
+            rate = bucket.take_demand() / REDISTRIBUTION_SECONDS
             smoothed = self._demand.get(name, rate)
             smoothed += DEMAND_SMOOTHING * (rate - smoothed)
             self._demand[name] = smoothed
             reported = [_read_demand(part, name) for part in others.values()]
-            limit = share_limit(team.requests_per_second, smoothed, reported, instances)
+            limit = compute_limit_share(team.requests_per_second, smoothed, reported, instances)
             bucket.set_rate(limit, trio.current_time())
 
     def _list_demand(self) -> dict[str, float]:
--- a/ashpond/decisions/quotas.py
+++ b/ashpond/decisions/quotas.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-__all__ = ["TokenBucket", "share_limit"]
+__all__ = ["TokenBucket", "compute_limit_share"]
 
-SAFE_PART = 0.5
+EVEN_SHARE = 0.5
 
 
-def share_limit(
+def compute_limit_share(
     limit: float, own_demand: float, other_demands: list[float], instances: int
 ) -> float:
     """Return the part of a fleet-wide ``limit`` that this instance may use.
@@ -23,7 +23,7 @@
     if total <= 0:
         return even
     by_demand = limit * own_demand / total
-    return SAFE_PART * even + (1 - SAFE_PART) * by_demand
+    return EVEN_SHARE * even + (1 - EVEN_SHARE) * by_demand
 
 
 class TokenBucket:
@@ -51,7 +51,7 @@
             return 0.0
         return (1 - self._tokens) / self.rate
 
-    def read_demand(self) -> float:
+    def take_demand(self) -> float:
         """Return the number of requests since the last call, and start anew."""
         demand, self.demand = self.demand, 0.0
         return demand
@@ -60,6 +60,6 @@
         return max(1.0, self.rate * self.burst_seconds)
 
     def _refill(self, now: float) -> None:
-        grown = (now - self._updated) * self.rate
-        self._tokens = min(self._size(), self._tokens + grown)
+        refilled = (now - self._updated) * self.rate
+        self._tokens = min(self._size(), self._tokens + refilled)
         self._updated = now
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,7 +10,7 @@
 from ashpond.decisions.burn import Counts, coarsen_counts, judge_burn
 from ashpond.decisions.health import ServerHealth, select_usable
 from ashpond.decisions.membership import Fact, FactTable, choose_links, choose_watchers
-from ashpond.decisions.quotas import TokenBucket, share_limit
+from ashpond.decisions.quotas import TokenBucket, compute_limit_share
 from ashpond.decisions.retries import GiveUp, RetryAfter, RetryBudget, decide_retry
 from ashpond.decisions.rollout import EngineWeights, plan_rollout
 from ashpond.outcomes import MaybeRun, NotRun
@@ -84,10 +84,11 @@
 
 
 def test_limits_are_shared_by_demand_and_fall_back_to_the_even_share():
-    assert share_limit(100, 30, [10, 0], 3) == pytest.approx(100 / 6 + 37.5)
-    assert share_limit(100, 30, [], 4) == 25
+    assert compute_limit_share(100, 30, [10, 0], 3) == pytest.approx(100 / 6 + 37.5)
+    assert compute_limit_share(100, 30, [], 4) == 25
     shares = [
-        share_limit(100, d, [x for x in (5, 70, 25) if x != d], 3) for d in (5, 70, 25)
+        compute_limit_share(100, d, [x for x in (5, 70, 25) if x != d], 3)
+        for d in (5, 70, 25)
     ]
     assert sum(shares) == pytest.approx(100)
 
