--- a/ashpond/controllers/orderlease.py
+++ b/ashpond/controllers/orderlease.py
@@ -76,7 +76,7 @@
         store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
-        self.lease.begin_era(self._store.era.current, trio.current_time())
+        self.lease.restart_in_era(self._store.era.current, trio.current_time())
         self._has_read = False
         self._knows_restore = True
         self._old_keys.clear()
@@ -156,7 +156,7 @@
         if not isinstance(outcome, Done):
             return
         era = self._store.era.current
-        self.lease.note_era(era)
+        self.lease.set_era(era)
         snapshot = outcome.value
         self._clock.date(snapshot)
         rows = [row for row in snapshot.rows if row.key == make_lease_key(era)]
@@ -166,7 +166,7 @@
                 # The store came back before this instance started; the last holder of
                 # the time before may not know.
                 self._knows_restore = True
-                self.lease.begin_era(era, now)
+                self.lease.restart_in_era(era, now)
             self._has_read = True
             self.lease.on_read(None, 0, now)
             return
--- a/ashpond/decisions/leases.py
+++ b/ashpond/decisions/leases.py
@@ -34,7 +34,7 @@
 # A store that comes back from an older copy has forgotten which fencing numbers were
 # given: those of its next era begin above. Far more than there are writes in one.
 FENCES_PER_ERA = 1 << 32
-APART_SHARE = 1.05
+SEPARATION_SHARE = 1.05
 
 
 class LeaseTerms(NamedTuple):
@@ -44,9 +44,9 @@
     takes over after it has seen no renewal for ``silence``.
     """
 
-    valid: float
-    silence: float
-    renew: float
+    valid_seconds: float
+    takeover_wait: float
+    renew_interval: float
 
 
 def make_default_terms() -> LeaseTerms:
@@ -60,8 +60,12 @@
 
 def make_lease_terms(lease_seconds: float) -> LeaseTerms:
     """Return terms that keep orders of two holders ``lease_seconds`` apart."""
-    valid = lease_seconds * VALID_SHARE
-    return LeaseTerms(valid, valid + lease_seconds * APART_SHARE, valid / 2)
+    valid_seconds = lease_seconds * VALID_SHARE
+    return LeaseTerms(
+        valid_seconds,
+        valid_seconds + lease_seconds * SEPARATION_SHARE,
+        valid_seconds / 2,
+    )
 
 
 class LeaseRow(NamedTuple):
@@ -87,7 +91,7 @@
         self.terms = terms or make_default_terms()
         self._row: LeaseRow | None = None
         self._version = 0
-        self._seen_since = 0.0
+        self._unchanged_since = 0.0
         self._valid_until = float("-inf")
         self._renewed_at = float("-inf")
         self._highest_fence = 0
@@ -95,11 +99,11 @@
         self._era_since = float("-inf")
         self._was_holder = False
 
-    def note_era(self, era: int | None) -> None:
+    def set_era(self, era: int | None) -> None:
         """Take note of the era of the store, which has not changed under the lease."""
         self._era = era
 
-    def begin_era(self, era: int | None, now: float) -> None:
+    def restart_in_era(self, era: int | None, now: float) -> None:
         """Take note that the store came back from an older copy.
 
         Its row of the lease is of the time before, and may be older than grants that
@@ -109,7 +113,7 @@
         last holder may not know yet.
         """
         self._was_holder = (
-            self.is_holder and now - self._renewed_at < self.terms.silence
+            self.is_holder and now - self._renewed_at < self.terms.takeover_wait
         )
         self._highest_fence = max(self._highest_fence, self.fence)
         self._era = era
@@ -123,11 +127,11 @@
         base = 0 if self._era is None else self._era * FENCES_PER_ERA
         return max(self.fence, self._highest_fence, base) + 1
 
-    def _may_take(self, now: float) -> bool:
+    def _may_take_without_row(self, now: float) -> bool:
         """Return whether grants of before the store came back have run out."""
         if self._was_holder:
             return True
-        return now - self._era_since >= self.terms.silence
+        return now - self._era_since >= self.terms.takeover_wait
 
     def holds(self, now: float) -> bool:
         """Return whether an order may be sent at this moment."""
@@ -139,7 +143,7 @@
         return self._row is not None
 
     @property
-    def holder_seen(self) -> str | None:
+    def last_known_holder(self) -> str | None:
         """Who held the lease when its row was last seen."""
         return self._row.holder if self._row else None
 
@@ -161,8 +165,8 @@
         :param age: seconds since its last renewal, where the store can tell.
         """
         if version != self._version or self._row is None:
-            self._seen_since = now
-        self._seen_since = min(self._seen_since, now - age)
+            self._unchanged_since = now
+        self._unchanged_since = min(self._unchanged_since, now - age)
         if row is None or self._row is None or not _is_same_grant(row, self._row):
             self._valid_until = float("-inf")
         self._row = row
@@ -172,13 +176,13 @@
         """Return the write that would take or renew the lease, if it is time."""
         row = self._row
         if row is None:
-            if not self._may_take(now):
+            if not self._may_take_without_row(now):
                 return None
             fence = self._choose_fence()
             return LeaseWrite(LeaseRow(self.holder, fence, 0), self._version)
         if row.holder == self.holder:
             return self._plan_renewal(row, now)
-        if now - self._seen_since < self.terms.silence:
+        if now - self._unchanged_since < self.terms.takeover_wait:
             return None
         fence = self._choose_fence()
         return LeaseWrite(LeaseRow(self.holder, fence, 0), self._version)
@@ -188,7 +192,7 @@
             # Awake after a pause, or a late write of ours: take it afresh.
             fence = self._choose_fence()
             return LeaseWrite(LeaseRow(self.holder, fence, 0), self._version)
-        if now - self._renewed_at < self.terms.renew:
+        if now - self._renewed_at < self.terms.renew_interval:
             return None
         renewed = row._replace(beat=row.beat + 1)
         return LeaseWrite(renewed, self._version)
@@ -200,11 +204,11 @@
         if isinstance(outcome, Done):
             self._row = write.row
             self._version = outcome.value
-            self._seen_since = sent_at
+            self._unchanged_since = sent_at
             self._renewed_at = sent_at
             self._highest_fence = max(self._highest_fence, write.row.fence)
             self._was_holder = False
-            self._valid_until = sent_at + self.terms.valid
+            self._valid_until = sent_at + self.terms.valid_seconds
             return False
         if isinstance(outcome, Conflict):
             self._valid_until = float("-inf")
--- a/ashpond/gateway/status.py
+++ b/ashpond/gateway/status.py
@@ -39,7 +39,7 @@
             "peers_told": len(gateway.news.list_links()),
         },
         "lease": {
-            "holder": lease.holder_seen,
+            "holder": lease.last_known_holder,
             "held_here": lease.holds(now),
             "fence": lease.fence,
         },
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -317,8 +317,8 @@
 def test_unreadable_lease_is_waited_out() -> None:
     lease = Lease("i1")
     lease.on_read(LeaseRow("", 9, 0), 9, 0.0)
-    assert lease.plan_write(lease.terms.silence / 2) is None
-    write = lease.plan_write(lease.terms.silence + 0.1)
+    assert lease.plan_write(lease.terms.takeover_wait / 2) is None
+    write = lease.plan_write(lease.terms.takeover_wait + 0.1)
     assert write is not None
     assert write.row.fence == 10
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -575,7 +575,7 @@
     while not other.lease.holds(trio.current_time()):
         await other.order_lease.hold(trio.current_time(), 60.0)
         await trio.sleep(0.1)
-    assert trio.current_time() - started_at >= other.lease.terms.silence
+    assert trio.current_time() - started_at >= other.lease.terms.takeover_wait
     assert other.lease.fence > contender.lease.fence
     # Rows of earlier eras are removed with the first write.
     keys = {key for table, key in store.rows if table == LEASE_TABLE}
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -14,7 +14,7 @@
 from tests.mutants import Mutant, expect_caught
 
 # Rates of the holders' clocks; all are within what the margin allows for.
-RATES = (0.95, 1.0, 1.05)
+CLOCK_RATES = (0.95, 1.0, 1.05)
 DELIVERY_SECONDS = 1.0
 STEP_SECONDS = st.sampled_from([0.2, 0.5, 1.0, 2.0])
 pick = st.integers(0, 5)
@@ -26,7 +26,7 @@
     holder: int
 
 
-class Waiting(NamedTuple):
+class PendingWrite(NamedTuple):
     """A write on its way: ``sent_at`` is on the holder's own clock."""
 
     holder: int
@@ -42,14 +42,14 @@
         self.now = 1000.0
         self.row: LeaseRow | None = None
         self.version = 0
-        self.holders = [Lease(f"holder-{number}") for number in range(len(RATES))]
-        self.waiting: list[Waiting] = []
+        self.holders = [Lease(f"holder-{number}") for number in range(len(CLOCK_RATES))]
+        self.waiting: list[PendingWrite] = []
         self.late: list[LeaseWrite] = []
         self.orders: list[Order] = []
         self.highest = 0
 
     def clock(self, holder: int) -> float:
-        return self.now * RATES[holder] + 77 * holder
+        return self.now * CLOCK_RATES[holder] + 77 * holder
 
     @rule(seconds=STEP_SECONDS)
     def pass_time(self, seconds: float) -> None:
@@ -60,7 +60,7 @@
             self.deliver()
 
     @rule(holder=st.sampled_from([0, 1, 2]))
-    def tend(self, holder: int) -> None:
+    def renew_or_contend(self, holder: int) -> None:
         """Read the row and send the write that is due, if any."""
         if any(entry.holder == holder for entry in self.waiting):
             return
@@ -68,12 +68,12 @@
         lease.on_read(self.row, self.version, self.clock(holder))
         write = lease.plan_write(self.clock(holder))
         if write is not None:
-            self.waiting.append(Waiting(holder, write, self.clock(holder)))
+            self.waiting.append(PendingWrite(holder, write, self.clock(holder)))
 
     @rule(holder=st.sampled_from([0, 1, 2]))
-    def tend_well(self, holder: int) -> None:
+    def renew_or_contend_at_once(self, holder: int) -> None:
         """Read, write and hear at once, as on most days."""
-        self.tend(holder)
+        self.renew_or_contend(holder)
         if self.waiting and self.waiting[-1].holder == holder:
             self.answer(len(self.waiting) - 1, "done")
 
@@ -121,12 +121,12 @@
 
     @rule()
     def check_one_holder(self) -> None:
-        holding = [
+        valid_holders = [
             number
             for number, lease in enumerate(self.holders)
             if lease.holds(self.clock(number))
         ]
-        assert len(holding) <= 1
+        assert len(valid_holders) <= 1
 
 
 TestLeases = LeaseMachine.TestCase
