--- a/ashpond/controllers/claims.py
+++ b/ashpond/controllers/claims.py
@@ -97,7 +97,7 @@
     def answer(self, attempt: str) -> AttemptState:
         """Answer another instance's question about an attempt."""
         try:
-            return self.registry.answer(attempt)
+            return self.registry.get_state_or_revoke(attempt)
         except ValueError:
             return AttemptState.UNKNOWN
 
@@ -137,12 +137,12 @@
                 return protocol.on_read(unpack_claim(outcome.value))
             return protocol.on_read(outcome)
         assert isinstance(step, AskOwner)
-        return protocol.on_owner(await self._ask_owner(step.attempt))
+        return protocol.on_owner_state(await self._ask_owner(step.attempt))
 
     async def _ask_owner(self, attempt: str) -> AttemptState:
         owner, _, _ = split_attempt_id(attempt)
         if owner == self.registry.owner:
-            return self.registry.answer(attempt)
+            return self.registry.get_state_or_revoke(attempt)
         answer = await ask_peer(
             owner,
             AskAttempt(attempt),
@@ -166,7 +166,7 @@
     def release(self, claim: Claim) -> None:
         """Let another attempt have the claim: this one certainly did not run."""
         self.registry.give_up(claim.attempt)
-        self.registry.forget(claim.attempt)
+        self.registry.remove(claim.attempt)
         row = ClaimRow(claim.attempt, claim.digest, released=True)
         self._finishes.send_nowait((claim, row))
 
@@ -186,7 +186,7 @@
             outcome = await self._write(put)
             if isinstance(outcome, Done | Conflict):
                 # From now on the row itself tells what became of the attempt.
-                self.registry.forget(claim.attempt)
+                self.registry.remove(claim.attempt)
                 return
             await trio.sleep(FINISH_PAUSE_SECONDS * 2**retry)
 
--- a/ashpond/decisions/claims.py
+++ b/ashpond/decisions/claims.py
@@ -41,10 +41,10 @@
 )
 
 MAX_STEPS = 8
-MAX_REMEMBERED = 100_000
+MAX_SENT_ATTEMPTS = 100_000
 IN_PROGRESS_RETRY_SECONDS = 0.5
 STORE_RETRY_SECONDS = 2.0
-UNKNOWN_STATUS = 409
+IN_DOUBT_STATUS = 409
 STORE_DOWN_STATUS = 503
 
 
@@ -116,7 +116,7 @@
 
 
 Command = InsertClaim | ReadClaim | ReplaceClaim | AskOwner
-Verdict = Dispatch | Replay | Refusal
+ClaimResult = Dispatch | Replay | Refusal
 
 
 def make_attempt_id(owner: str, incarnation: str, number: int) -> str:
@@ -135,30 +135,30 @@
 
     def __init__(self, attempt: str, request_digest: str):
         self.own = ClaimRow(attempt, request_digest)
-        self._standing: VersionedClaim | None = None
+        self._other_claim: VersionedClaim | None = None
         self._steps = 0
 
     def start(self) -> Command:
         """Return the first command."""
         return InsertClaim(self.own)
 
-    def on_write(self, outcome: StoreOutcome) -> Command | Verdict:
+    def on_write(self, outcome: StoreOutcome) -> Command | ClaimResult:
         """Take the outcome of an insert or a replacement."""
         self._steps += 1
         if isinstance(outcome, Done):
             return Dispatch(outcome.value)
         if isinstance(outcome, Unavailable):
-            return refuse_store_down()
+            return make_store_down_refusal()
         # After a lost answer only the row itself can tell who has the claim.
         return ReadClaim()
 
     def on_read(
         self, outcome: VersionedClaim | None | Unavailable | Unknown
-    ) -> Command | Verdict:
+    ) -> Command | ClaimResult:
         """Take the row that was read, ``None`` if there is none."""
         self._steps += 1
         if self._steps > MAX_STEPS or isinstance(outcome, Unavailable | Unknown):
-            return refuse_store_down()
+            return make_store_down_refusal()
         if outcome is None:
             return InsertClaim(self.own)
         if outcome.row.attempt == self.own.attempt:
@@ -170,26 +170,26 @@
             return Replay(outcome.row.answer)
         if outcome.row.released:
             return ReplaceClaim(self.own, outcome.version)
-        self._standing = outcome
+        self._other_claim = outcome
         return AskOwner(outcome.row.attempt)
 
-    def on_owner(self, state: AttemptState) -> Command | Verdict:
+    def on_owner_state(self, state: AttemptState) -> Command | ClaimResult:
         """Take what the owner of the standing claim says."""
         self._steps += 1
-        if state is AttemptState.NEVER and self._standing is not None:
-            return ReplaceClaim(self.own, self._standing.version)
+        if state is AttemptState.NEVER and self._other_claim is not None:
+            return ReplaceClaim(self.own, self._other_claim.version)
         if state is AttemptState.SENT:
             text = "an earlier request with this key is still running"
             wait = IN_PROGRESS_RETRY_SECONDS
             unknown = RunState.OUTCOME_UNKNOWN
-            return Refusal(UNKNOWN_STATUS, "in_progress", text, unknown, wait)
+            return Refusal(IN_DOUBT_STATUS, "in_progress", text, unknown, wait)
         text = "an earlier request with this key may have run"
         return Refusal(
-            UNKNOWN_STATUS, "outcome_unknown", text, RunState.OUTCOME_UNKNOWN
+            IN_DOUBT_STATUS, "outcome_unknown", text, RunState.OUTCOME_UNKNOWN
         )
 
 
-def refuse_store_down() -> Refusal:
+def make_store_down_refusal() -> Refusal:
     """Return the refusal of a request whose claim could not be made sure."""
     return Refusal(
         STORE_DOWN_STATUS,
@@ -212,7 +212,7 @@
         self._number = 0
         self._pending: set[str] = set()
         self._sent: dict[str, None] = {}
-        self._forgotten_below = 0
+        self._removed_below = 0
 
     def open(self) -> str:
         """Return the id of a new pending attempt."""
@@ -230,28 +230,28 @@
             return False
         self._pending.remove(attempt)
         self._sent[attempt] = None
-        while len(self._sent) > MAX_REMEMBERED:
+        while len(self._sent) > MAX_SENT_ATTEMPTS:
             oldest = next(iter(self._sent))
             del self._sent[oldest]
-            self._forgotten_below = split_attempt_id(oldest)[2] + 1
+            self._removed_below = split_attempt_id(oldest)[2] + 1
         return True
 
     def give_up(self, attempt: str) -> None:
         """Record that a pending attempt will never be sent."""
         self._pending.discard(attempt)
 
-    def forget(self, attempt: str) -> None:
+    def remove(self, attempt: str) -> None:
         """Drop a sent attempt that did not run, or whose row says that it did."""
         self._sent.pop(attempt, None)
 
-    def answer(self, attempt: str) -> AttemptState:
+    def get_state_or_revoke(self, attempt: str) -> AttemptState:
         """Answer another instance; an attempt not sent by now never will be."""
         owner, incarnation, number = split_attempt_id(attempt)
         if (owner, incarnation) != (self.owner, self.incarnation):
             return AttemptState.UNKNOWN
         if attempt in self._sent:
             return AttemptState.SENT
-        if number < self._forgotten_below:
+        if number < self._removed_below:
             return AttemptState.UNKNOWN
         self._pending.discard(attempt)
         return AttemptState.NEVER
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -28,7 +28,7 @@
 from tests.mutants import Mutant, expect_caught
 
 INSTANCES = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
-FATES = ("done", "lost", "late", "down")
+WRITE_OUTCOMES = ("done", "lost", "late", "down")
 pick = st.integers(0, 7)
 
 
@@ -51,7 +51,7 @@
         return VersionedClaim(self.row, self.version) if self.row else None
 
 
-class Try:
+class ClaimAttempt:
     """One attempt on one instance, between two of its steps."""
 
     def __init__(self, owner: str, incarnation: int, registry: AttemptRegistry):
@@ -72,7 +72,7 @@
         self.store = Store()
         self.starts = dict.fromkeys(INSTANCES, 0)
         self.registries = {name: self.make_registry(name) for name in INSTANCES}
-        self.tries: list[Try] = []
+        self.attempts: list[ClaimAttempt] = []
         self.runs = 0
 
     def make_registry(self, name: str) -> AttemptRegistry:
@@ -81,40 +81,42 @@
     @rule(owner=st.sampled_from(INSTANCES))
     def start(self, owner: str) -> None:
         registry = self.registries[owner]
-        self.tries.append(Try(owner, self.starts[owner], registry))
+        self.attempts.append(ClaimAttempt(owner, self.starts[owner], registry))
 
-    @precondition(lambda self: self.tries)
-    @rule(number=pick, fate=st.sampled_from(FATES))
-    def advance(self, number: int, fate: str) -> None:
+    @precondition(lambda self: self.attempts)
+    @rule(number=pick, outcome_kind=st.sampled_from(WRITE_OUTCOMES))
+    def advance(self, number: int, outcome_kind: str) -> None:
         """Let one attempt take its next step, whichever that is."""
-        current = self.tries[number % len(self.tries)]
+        current = self.attempts[number % len(self.attempts)]
         if isinstance(current.step, InsertClaim | ReplaceClaim):
-            self.write(current, fate)
+            self.write(current, outcome_kind)
         elif isinstance(current.step, ReadClaim):
-            outcome = Unavailable("down") if fate == "down" else self.store.read()
+            outcome = (
+                Unavailable("down") if outcome_kind == "down" else self.store.read()
+            )
             self.proceed(current, current.protocol.on_read(outcome))
         elif isinstance(current.step, AskOwner):
-            self.ask(current, reachable=fate != "down")
+            self.ask(current, reachable=outcome_kind != "down")
         elif current.sent:
-            self.settle(current, fate)
+            self.settle(current, outcome_kind)
         else:
-            self.send(current, runs=fate != "down")
+            self.send(current, runs=outcome_kind != "down")
 
-    @precondition(lambda self: self.tries)
+    @precondition(lambda self: self.attempts)
     @rule(number=pick)
-    def advance_well(self, number: int) -> None:
+    def advance_without_fault(self, number: int) -> None:
         self.advance(number, "done")
 
-    def write(self, current: Try, fate: str) -> None:
+    def write(self, current: ClaimAttempt, outcome_kind: str) -> None:
         version = getattr(current.step, "version", 0)
         outcome: Any = Unknown("lost")
-        if fate == "late":
+        if outcome_kind == "late":
             self.store.late.append((current.step.row, version))
-        elif fate == "down":
+        elif outcome_kind == "down":
             outcome = Unavailable("down")
         else:
             landed = self.store.write(current.step.row, version)
-            outcome = landed if fate == "done" else outcome
+            outcome = landed if outcome_kind == "done" else outcome
         self.proceed(current, current.protocol.on_write(outcome))
 
     @precondition(lambda self: self.store.late)
@@ -123,57 +125,57 @@
         row, version = self.store.late.pop(number % len(self.store.late))
         self.store.write(row, version)
 
-    def ask(self, current: Try, *, reachable: bool) -> None:
+    def ask(self, current: ClaimAttempt, *, reachable: bool) -> None:
         owner, _, _ = split_attempt_id(current.step.attempt)
         state = AttemptState.UNKNOWN
         if reachable:
-            state = self.registries[owner].answer(current.step.attempt)
-        self.proceed(current, current.protocol.on_owner(state))
+            state = self.registries[owner].get_state_or_revoke(current.step.attempt)
+        self.proceed(current, current.protocol.on_owner_state(state))
 
-    def proceed(self, current: Try, step: Any) -> None:
+    def proceed(self, current: ClaimAttempt, step: Any) -> None:
         current.step = step
         if isinstance(step, Refusal | Replay):
             self.registries[current.owner].give_up(current.name)
-            self.tries.remove(current)
+            self.attempts.remove(current)
 
-    def send(self, current: Try, *, runs: bool) -> None:
+    def send(self, current: ClaimAttempt, *, runs: bool) -> None:
         """Send an attempt; the server may say that it did not run."""
         if not self.registries[current.owner].mark_sent(current.name):
-            self.tries.remove(current)
+            self.attempts.remove(current)
             return
         current.sent = True
         current.ran = runs
         self.runs += runs
 
-    def settle(self, current: Try, fate: str) -> None:
+    def settle(self, current: ClaimAttempt, outcome_kind: str) -> None:
         """Finish or release a sent attempt, as the controller does."""
         registry = self.registries[current.owner]
         row = current.protocol.own._replace(
             finished=current.ran, released=not current.ran
         )
         if not current.ran:
-            registry.forget(current.name)
+            registry.remove(current.name)
         version = current.step.version
-        if fate == "late":
+        if outcome_kind == "late":
             self.store.late.append((row, version))
-        elif fate in ("done", "lost"):
+        elif outcome_kind in ("done", "lost"):
             self.store.write(row, version)
-        if fate == "done" or forgets_early():
-            registry.forget(current.name)
-            self.tries.remove(current)
+        if outcome_kind == "done" or removes_early():
+            registry.remove(current.name)
+            self.attempts.remove(current)
 
     @rule(owner=st.sampled_from(INSTANCES))
     def kill(self, owner: str) -> None:
         self.starts[owner] += 1
         self.registries[owner] = self.make_registry(owner)
-        self.tries = [t for t in self.tries if t.owner != owner]
+        self.attempts = [t for t in self.attempts if t.owner != owner]
 
     @invariant()
     def runs_at_most_once(self) -> None:
         assert self.runs <= 1
 
 
-def forgets_early() -> bool:
+def removes_early() -> bool:
     """Whether an attempt is forgotten before its row says that it ran."""
     return False
 
@@ -192,8 +194,8 @@
 
 
 def take_over_unknown(self: ClaimProtocol, state: AttemptState) -> Any:
-    assert self._standing is not None
-    return ReplaceClaim(self.own, self._standing.version)
+    assert self._other_claim is not None
+    return ReplaceClaim(self.own, self._other_claim.version)
 
 
 def answer_without_revoking(self: AttemptRegistry, attempt: str) -> AttemptState:
@@ -221,9 +223,16 @@
 MUTANTS = [
     Mutant("no read-back", ClaimProtocol, "on_write", dispatch_unread),
     Mutant("no attempt id compare", ClaimProtocol, "on_read", take_any_row),
-    Mutant("takeover of unknown", ClaimProtocol, "on_owner", take_over_unknown),
-    Mutant("no revoking", AttemptRegistry, "answer", answer_without_revoking),
-    Mutant("no incarnation", AttemptRegistry, "answer", answer_for_other_starts),
+    Mutant("takeover of unknown", ClaimProtocol, "on_owner_state", take_over_unknown),
+    Mutant(
+        "no revoking", AttemptRegistry, "get_state_or_revoke", answer_without_revoking
+    ),
+    Mutant(
+        "no incarnation",
+        AttemptRegistry,
+        "get_state_or_revoke",
+        answer_for_other_starts,
+    ),
     Mutant("revoked is sent", AttemptRegistry, "mark_sent", send_though_revoked),
     Mutant("no condition", Store, "write", write_unconditionally),
 ]
@@ -235,7 +244,7 @@
 
 
 def test_catches_an_attempt_forgotten_before_its_row_is_written(monkeypatch):
-    early = Mutant("early", sys.modules[__name__], "forgets_early", lambda: True)
+    early = Mutant("early", sys.modules[__name__], "removes_early", lambda: True)
     expect_caught(ClaimMachine, early, monkeypatch)
 
 
