--- a/ashpond/controllers/configuration.py
+++ b/ashpond/controllers/configuration.py
@@ -23,8 +23,8 @@
     ApplyRequest,
     Head,
     Rejected,
+    check_read_back,
     is_newer,
-    judge_read_back,
     plan_head,
 )
 from ashpond.errors import ConfigError
@@ -166,7 +166,7 @@
     async def _read_back(self, request: ApplyRequest) -> ApplyOutcome:
         read = await self._platform.get_row(HEAD_KEY)
         if isinstance(read, Done):
-            accepted = judge_read_back(make_head(read.value), request)
+            accepted = check_read_back(make_head(read.value), request)
             if accepted is not None:
                 return accepted
         return ApplyFailed("the answer to the write was lost; it may yet take effect")
--- a/ashpond/decisions/generations.py
+++ b/ashpond/decisions/generations.py
@@ -8,7 +8,7 @@
     "Head",
     "Rejected",
     "is_newer",
-    "judge_read_back",
+    "check_read_back",
     "plan_head",
 ]
 
@@ -72,13 +72,13 @@
     return Head(generation, files, applies)
 
 
-def judge_read_back(head: Head, request: ApplyRequest) -> Accepted | None:
+def check_read_back(head: Head, request: ApplyRequest) -> Accepted | None:
     """Return the acceptance if a lost write of this request took effect."""
     if request.apply_id in head.applies:
         return Accepted(head.applies[request.apply_id])
     return None
 
 
-def is_newer(running: Head | None, heard: Head) -> bool:
+def is_newer(running: Head | None, received: Head) -> bool:
     """Return whether to adopt ``heard``: only ever a higher generation."""
-    return heard.generation > (running.generation if running else 0)
+    return received.generation > (running.generation if running else 0)
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -15,7 +15,7 @@
     ApplyRequest,
     Head,
     Rejected,
-    judge_read_back,
+    check_read_back,
     plan_head,
 )
 from tests.mutants import Mutant, expect_caught
@@ -24,7 +24,7 @@
 number = st.integers(0, 5)
 
 
-class Writing(NamedTuple):
+class PendingWrite(NamedTuple):
     request: ApplyRequest
     planned: Head
     version: int
@@ -38,9 +38,9 @@
         self.head = Head()
         self.version = 0
         self.history = {0: Head()}
-        self.writing: list[Writing] = []
-        self.late: list[Writing] = []
-        self.repeats: list[ApplyRequest] = []
+        self.pending: list[PendingWrite] = []
+        self.late: list[PendingWrite] = []
+        self.retries: list[ApplyRequest] = []
         self.accepted: dict[str, int] = {}
         self.running: list[Head | None] = [None] * INSTANCES
         self.count = 0
@@ -52,33 +52,33 @@
         files = {"teams.toml": f"digest-{self.count}"}
         self.plan(ApplyRequest(f"apply-{self.count}", base, files))
 
-    @precondition(lambda self: self.repeats)
+    @precondition(lambda self: self.retries)
     @rule(which=number)
-    def repeat(self, which: int) -> None:
-        self.plan(self.repeats[which % len(self.repeats)])
+    def retry(self, which: int) -> None:
+        self.plan(self.retries[which % len(self.retries)])
 
     def plan(self, request: ApplyRequest) -> None:
         planned = generations.plan_head(self.head, request)
         if isinstance(planned, Head):
-            self.writing.append(Writing(request, planned, self.version))
+            self.pending.append(PendingWrite(request, planned, self.version))
         elif isinstance(planned, Accepted):
             self.accept(request, planned.generation)
         else:
             assert isinstance(planned, Rejected)
             assert planned.base != planned.current
 
-    @precondition(lambda self: self.writing)
-    @rule(which=number, fate=st.sampled_from(["done", "done", "lost", "late"]))
-    def write(self, which: int, fate: str) -> None:
-        entry = self.writing.pop(which % len(self.writing))
-        if fate == "late":
+    @precondition(lambda self: self.pending)
+    @rule(which=number, outcome_kind=st.sampled_from(["done", "done", "lost", "late"]))
+    def write(self, which: int, outcome_kind: str) -> None:
+        entry = self.pending.pop(which % len(self.pending))
+        if outcome_kind == "late":
             self.late.append(entry)
-        landed = fate != "late" and self.land(entry)
-        if fate == "done" and landed:
+        landed = outcome_kind != "late" and self.land(entry)
+        if outcome_kind == "done" and landed:
             self.accept(entry.request, entry.planned.generation)
-        if fate in ("lost", "late"):
-            self.repeats.append(entry.request)
-            found = judge_read_back(self.head, entry.request)
+        if outcome_kind in ("lost", "late"):
+            self.retries.append(entry.request)
+            found = check_read_back(self.head, entry.request)
             if found is not None:
                 self.accept(entry.request, found.generation)
 
@@ -87,7 +87,7 @@
     def land_late(self, which: int) -> None:
         self.land(self.late.pop(which % len(self.late)))
 
-    def land(self, entry: Writing) -> bool:
+    def land(self, entry: PendingWrite) -> bool:
         if entry.version != self.version and checks_version():
             return False
         self.head = entry.planned
@@ -106,20 +106,20 @@
 
     @rule(which=st.integers(0, INSTANCES - 1))
     def adopt_from_store(self, which: int) -> None:
-        self.hear(which, self.head)
+        self.adopt_if_newer(which, self.head)
 
     @rule(which=st.integers(0, INSTANCES - 1), peer=st.integers(0, INSTANCES - 1))
     def adopt_from_peer(self, which: int, peer: int) -> None:
-        heard = self.running[peer]
-        if heard is not None:
-            self.hear(which, heard)
+        received = self.running[peer]
+        if received is not None:
+            self.adopt_if_newer(which, received)
 
-    def hear(self, which: int, heard: Head) -> None:
+    def adopt_if_newer(self, which: int, received: Head) -> None:
         running = self.running[which]
-        if generations.is_newer(running, heard):
+        if generations.is_newer(running, received):
             if running is not None:
-                assert heard.generation > running.generation, "went back"
-            self.running[which] = heard
+                assert received.generation > running.generation, "went back"
+            self.running[which] = received
 
     @rule(which=st.integers(0, INSTANCES - 1))
     def restart(self, which: int) -> None:
