--- a/ashpond/decisions/knowledge.py
+++ b/ashpond/decisions/knowledge.py
@@ -12,15 +12,15 @@
 STALE_AFTER_SECONDS = 1.2
 # An instance learns of a target up to so long after its acceptance; longer ones are
 # times without the store, which do not count against the bound.
-LATE_SECONDS = 3.0
+MAX_TARGET_DELAY_SECONDS = 3.0
 
 
-class _Naming(NamedTuple):
+class _TargetRecord(NamedTuple):
     """A version, when this instance learned of it, and the earliest it was accepted."""
 
     version: int
-    learned_at: float
-    earliest: float
+    received_at: float
+    accepted_after: float
 
 
 class Knowledge:
@@ -33,7 +33,7 @@
         self.declaration: Declaration | None = None
         self.targets: dict[str, int] = {}
         self.confirmed_at = float("-inf")
-        self._target_times: dict[str, list[_Naming]] = {}
+        self._target_records: dict[str, list[_TargetRecord]] = {}
 
     def adopt(self, declaration: Declaration) -> bool:
         """Take over a configuration unless it is older; return whether it is new."""
@@ -48,13 +48,13 @@
         if target.version <= self.targets.get(target.model, 0):
             return False
         self.targets[target.model] = target.version
-        times = self._target_times.setdefault(target.model, [])
+        records = self._target_records.setdefault(target.model, [])
         # It was not there as of the last confirmation; at the start nothing is known.
-        earliest = max(self.confirmed_at, now - LATE_SECONDS)
+        accepted_after = max(self.confirmed_at, now - MAX_TARGET_DELAY_SECONDS)
         if self.declaration is None:
-            earliest = now
-        times.append(_Naming(target.version, now, earliest))
-        del times[:-8]
+            accepted_after = now
+        records.append(_TargetRecord(target.version, now, accepted_after))
+        del records[:-8]
         return True
 
     def confirm(self, at: float) -> None:
@@ -65,18 +65,18 @@
         """Return the seconds for which something newer may have been accepted."""
         return now - self.confirmed_at
 
-    def find_wanted_version(self, model: str, now: float) -> int:
+    def find_required_version(self, model: str, now: float) -> int:
         """Return the version on which requests count in full at ``now``."""
         found = 0
-        for naming in self._target_times.get(model, ()):
-            if naming.learned_at <= now - STALE_AFTER_SECONDS:
-                found = naming.version
+        for record in self._target_records.get(model, ()):
+            if record.received_at <= now - STALE_AFTER_SECONDS:
+                found = record.version
         return found
 
-    def find_version_named(self, model: str, until: float) -> int:
+    def find_possible_version(self, model: str, until: float) -> int:
         """Return the newest version that may have been named by ``until``."""
         found = 0
-        for naming in self._target_times.get(model, ()):
-            if naming.earliest <= until:
-                found = naming.version
+        for record in self._target_records.get(model, ()):
+            if record.accepted_after <= until:
+                found = record.version
         return found
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -100,7 +100,7 @@
 
     def find_required(model: str, now: float) -> int:
         bound = around.scenario.bound_seconds * REQUIRED_SHARE
-        return knowledge.find_version_named(model, now - bound)
+        return knowledge.find_possible_version(model, now - bound)
 
     def note_held(state: ServerState, salt: str, prompt: Prompt) -> None:
         now = trio.current_time()
@@ -112,7 +112,7 @@
         CacheStores(),
         make_domain(number),
         lambda: knowledge.declaration,
-        knowledge.find_wanted_version,
+        knowledge.find_required_version,
         find_required,
         rng,
     )
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -127,7 +127,7 @@
             self.stores,
             settings.failure_domain,
             lambda: self.knowledge.declaration,
-            self.knowledge.find_wanted_version,
+            self.knowledge.find_required_version,
             self._find_required_version,
             self.rng,
             lambda: bool(self.news.links.group),
@@ -324,7 +324,7 @@
 
     def _find_required_version(self, model: str, now: float) -> int:
         bound = self.settings.bounds.weights_ms / MS * REQUIRED_SHARE
-        return self.knowledge.find_version_named(model, now - bound)
+        return self.knowledge.find_possible_version(model, now - bound)
 
     def _has_service(self, service: str) -> bool:
         declaration = self.knowledge.declaration
--- a/tests/test_gateway_admission.py
+++ b/tests/test_gateway_admission.py
@@ -5,7 +5,7 @@
 from hypothesis import given, strategies as st
 
 from ashpond.decisions.declared import Team, WeightTarget, find_route
-from ashpond.decisions.knowledge import LATE_SECONDS, Knowledge
+from ashpond.decisions.knowledge import MAX_TARGET_DELAY_SECONDS, Knowledge
 from ashpond.gateway.admission import Accepted, admit_call
 from ashpond.gateway.store import Snapshot, StoreClock
 from ashpond.outcomes import Refusal
@@ -136,8 +136,8 @@
 
     knowledge = Knowledge()
     knowledge.adopt_target(WeightTarget("m", 2), 10.0)
-    assert knowledge.find_wanted_version("m", 10.5) == 0
-    assert knowledge.find_wanted_version("m", 11.5) == 2
+    assert knowledge.find_required_version("m", 10.5) == 0
+    assert knowledge.find_required_version("m", 11.5) == 2
     assert not knowledge.adopt_target(WeightTarget("m", 1), 12.0)
 
 
@@ -147,18 +147,20 @@
     knowledge.adopt(make_declaration())
     knowledge.confirm(5.0)
     knowledge.adopt_target(WeightTarget("m", 2), 7.5)
-    assert knowledge.find_version_named("m", 4.9) == 0
-    assert knowledge.find_version_named("m", 5.0) == 2
+    assert knowledge.find_possible_version("m", 4.9) == 0
+    assert knowledge.find_possible_version("m", 5.0) == 2
     # What counts in full is told by the time of hearing.
-    assert knowledge.find_wanted_version("m", 8.0) == 0
+    assert knowledge.find_required_version("m", 8.0) == 0
     # After a long time without the store, no longer than the limit.
     knowledge.adopt_target(WeightTarget("m", 3), 30.0)
-    assert knowledge.find_version_named("m", 30.0 - LATE_SECONDS - 0.1) == 2
-    assert knowledge.find_version_named("m", 30.0 - LATE_SECONDS) == 3
+    assert (
+        knowledge.find_possible_version("m", 30.0 - MAX_TARGET_DELAY_SECONDS - 0.1) == 2
+    )
+    assert knowledge.find_possible_version("m", 30.0 - MAX_TARGET_DELAY_SECONDS) == 3
 
 
 def test_at_its_start_an_instance_knows_no_earlier_time() -> None:
     knowledge = Knowledge()
     knowledge.adopt_target(WeightTarget("m", 2), 7.5)
-    assert knowledge.find_version_named("m", 7.4) == 0
-    assert knowledge.find_version_named("m", 7.5) == 2
+    assert knowledge.find_possible_version("m", 7.4) == 0
+    assert knowledge.find_possible_version("m", 7.5) == 2
