--- a/ashpond/controllers/burn.py
+++ b/ashpond/controllers/burn.py
@@ -17,8 +17,8 @@
     BurnRow,
     Counts,
     coarsen_counts,
+    compute_burn,
     count_outcome,
-    judge_burn,
     merge_counts,
 )
 from ashpond.outcomes import Done, Unavailable
@@ -97,7 +97,7 @@
                 return Unavailable("the platform's object store does not answer")
             if read.value is not None:
                 parts.append(unpack_buckets(read.value))
-        return judge_burn(merge_counts(parts), self._list_targets(), time.time())
+        return compute_burn(merge_counts(parts), self._list_targets(), time.time())
 
     def _list_targets(self) -> dict[str, dict[str, float]]:
         return {
--- a/ashpond/decisions/burn.py
+++ b/ashpond/decisions/burn.py
@@ -11,7 +11,7 @@
     "Counts",
     "coarsen_counts",
     "count_outcome",
-    "judge_burn",
+    "compute_burn",
     "merge_counts",
 ]
 
@@ -109,7 +109,7 @@
     return merged
 
 
-def judge_burn(
+def compute_burn(
     buckets: Mapping[BucketKey, Counts],
     targets: Mapping[str, Mapping[str, float]],
     now: float,
@@ -140,8 +140,8 @@
 ) -> Counts:
     total = Counts()
     oldest = (now - window.seconds) / BUCKET_SECONDS
-    for (its_service, its_team, bucket), counts in buckets.items():
-        if its_service == service and its_team == team and bucket >= oldest:
+    for (row_service, row_team, bucket), counts in buckets.items():
+        if row_service == service and row_team == team and bucket >= oldest:
             total = total.plus(counts)
     return total
 
@@ -150,7 +150,7 @@
     service: str, team: str, objective: str, target: float, sums: dict[str, Counts]
 ) -> BurnRow:
     rates = {
-        label: _measure_rate(counts, objective, target)
+        label: _compute_rate(counts, objective, target)
         for label, counts in sums.items()
     }
     longest = WINDOWS[-1].label
@@ -164,7 +164,7 @@
     return BurnRow(service, team, objective, target, rates, total, left, pages)
 
 
-def _measure_rate(counts: Counts, objective: str, target: float) -> float:
+def _compute_rate(counts: Counts, objective: str, target: float) -> float:
     if not counts.total:
         return 0.0
     good = counts.answered if objective == "answered" else counts.in_time
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from ashpond.decisions.burn import Counts, coarsen_counts, judge_burn
+from ashpond.decisions.burn import Counts, coarsen_counts, compute_burn
 from ashpond.decisions.health import ServerHealth, select_usable
 from ashpond.decisions.membership import Fact, FactTable, choose_links, choose_watchers
 from ashpond.decisions.quotas import TokenBucket, compute_limit_share
@@ -200,7 +200,7 @@
 
 def test_a_burn_rate_over_two_windows_pages():
     buckets = {("s", "t", 1000 - n): Counts(100, 80, 80) for n in range(60)}
-    rows = judge_burn(buckets, {"s": {"answered": 0.99}}, 1000 * 60.0)
+    rows = compute_burn(buckets, {"s": {"answered": 0.99}}, 1000 * 60.0)
     assert rows[0].rates["5m"] == pytest.approx(20)
     assert rows[0].pages == "5m+1h"
     assert rows[0].budget_left < 0
