--- a/ashpond/decisions/declared.py
+++ b/ashpond/decisions/declared.py
@@ -59,11 +59,11 @@
     objective: float
     max_attempts: int
     priority: int
-    is_open: bool = False
+    is_anonymous: bool = False
     is_resumable: bool = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT
 
--- a/ashpond/gateway/admission.py
+++ b/ashpond/gateway/admission.py
@@ -49,7 +49,7 @@
             return _refuse_uninformed("no such route was known a while ago")
         return Refusal(404, "no_route", "no route has this host and path")
     team = None
-    if declaration.needs_keys and not route.is_open:
+    if declaration.needs_keys and not route.is_anonymous:
         if age > revocation_seconds * AGE_SHARE:
             return _refuse_uninformed("keys may have been removed meanwhile")
         team = _find_team(declaration, call.envelope.key)
--- a/ashpond/gateway/callprogress.py
+++ b/ashpond/gateway/callprogress.py
@@ -153,7 +153,7 @@
     @property
     def is_repeatable(self) -> bool:
         """Whether the call may run again after it may have run."""
-        return self.route.is_repeatable or self.route.is_resumable
+        return self.route.is_idempotent or self.route.is_resumable
 
     def note(self, event: str, **fields: object) -> None:
         """Log a decision on the call."""
--- a/ashpond/gateway/sends.py
+++ b/ashpond/gateway/sends.py
@@ -152,7 +152,7 @@
 
     def _choose_silence(self) -> float:
         if (
-            not self.call.route.is_repeatable
+            not self.call.route.is_idempotent
             or self.call.runs + 1 >= self.call.route.max_attempts
         ):
             return float("inf")
--- a/tests/test_gateway_admission.py
+++ b/tests/test_gateway_admission.py
@@ -58,7 +58,7 @@
 
 def test_an_open_route_needs_no_key() -> None:
     knowledge = Knowledge()
-    knowledge.adopt(make_declaration(make_route(is_open=True)))
+    knowledge.adopt(make_declaration(make_route(is_anonymous=True)))
     knowledge.confirm(0.0)
     accepted = admit_call(make_call(key=None), knowledge, REVOCATION, 100.0)
     assert accepted.team is None
--- a/tests/test_gateway_dispatch.py
+++ b/tests/test_gateway_dispatch.py
@@ -271,7 +271,7 @@
     left = len(bench.pool.script)
     used = script[: len(script) - left]
     ran = [step for step in used if _may_have_run(step)]
-    if not (route.is_repeatable or route.is_resumable):
+    if not (route.is_idempotent or route.is_resumable):
         assert len(ran) <= 1
     assert len(ran) <= max(1, route.max_attempts)
     if reply.status == 503:
