--- a/ashpond/controllers/limits.py
+++ b/ashpond/controllers/limits.py
@@ -66,7 +66,9 @@
             smoothed += DEMAND_SMOOTHING * (rate - smoothed)
             self._demand[name] = smoothed
             reported = [_read_demand(part, name) for part in others.values()]
-            limit = compute_limit_share(team.requests_per_second, smoothed, reported, instances)
+            limit = compute_limit_share(
+                team.requests_per_second, smoothed, reported, instances
+            )
             bucket.set_rate(limit, trio.current_time())
 
     def _list_demand(self) -> dict[str, float]:
