--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -36,7 +36,7 @@
 from tests.followed import FollowedTable, running
 from tests.gateway_builders import make_quarantine
 from tests.row_builders import CONFIGURATION, SERVER, FollowedView
-from tests.test_quarantine import end_three_servers
+from tests.test_quarantine import crash_three_servers
 
 LEASE_SECONDS = 3.0
 
@@ -437,7 +437,7 @@
     copy = store.take_copy()
     quarantine = make_quarantine(store=store)
     nursery.start_soon(quarantine.run)
-    await end_three_servers(quarantine)
+    await crash_three_servers(quarantine)
     await trio.sleep(2.0)
     store.return_from(copy)
     await quarantine._rows._store.read("any")
