--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,4 +1,4 @@
-"""Guards that are taken out one at a time, to show that the tests miss them."""
+"""Mutations that each remove a guard, to check that the tests fail without it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Mutant(NamedTuple):
-    """A guard taken out: ``function`` stands in for ``target.name``."""
+    """A mutation that replaces ``target.name`` with ``function``."""
 
     label: str
     target: Any
@@ -22,7 +22,7 @@
 
 
 def expect_caught(machine: Any, mutant: Mutant, monkeypatch: Any) -> None:
-    """Check that ``machine`` fails once the mutant's guard is gone."""
+    """Check that ``machine`` fails with the mutation applied."""
     monkeypatch.setattr(mutant.target, mutant.name, mutant.function)
     limits = settings(
         max_examples=MUTANT_EXAMPLES,
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -20,10 +20,10 @@
 
 
 class CacheMachine(RuleBasedStateMachine):
-    """An engine that crashes and whose word comes late, and one view of it.
+    """An engine that crashes, cache events that arrive late, and a view of its cache.
 
-    Each incarnation caches blocks of its own numbers, so a match of another
-    incarnation's blocks would show.
+    Each incarnation caches blocks with numbers of its own, so that a match with blocks
+    of another incarnation is detected.
     """
 
     def __init__(self) -> None:
@@ -85,7 +85,10 @@
 MUTANTS = [
     Mutant("kept over a crash", CacheView, "adopt_incarnation", adopt_without_clearing),
     Mutant(
-        "events of the dead", CacheView, "note_events", apply_events_of_any_incarnation
+        "events of an old incarnation",
+        CacheView,
+        "note_events",
+        apply_events_of_any_incarnation,
     ),
 ]
 
--- a/tests/test_eventstream.py
+++ b/tests/test_eventstream.py
@@ -1,4 +1,4 @@
-"""Streams are cut into whole events, however their bytes arrive."""
+"""Streams are split into complete events, however their bytes arrive."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway_selection.py
+++ b/tests/test_gateway_selection.py
@@ -1,4 +1,4 @@
-"""Where a request goes: places, shared parts, weights, failures."""
+"""Requests go to servers by free slots, cached parts, weights and failures."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 def test_an_engine_without_memory_gets_nothing() -> None:
     full = make_candidate("a", load=Load(3, 0, 79_000))
     assert choose(full, prompt=make_prompt()) is None
-    # One request always goes, also a large one.
+    # An idle server takes any request, however large.
     idle = make_candidate("b", memory_tokens=1000)
     assert choose(idle, prompt=make_prompt()) == "b"
 
@@ -76,7 +76,7 @@
 
 
 def test_a_prompt_leaves_its_failure_domain_for_a_clearly_sooner_answer() -> None:
-    """0.04 s are 2,000 prompt tokens; a plain request goes for less."""
+    """0.04 s is the prefill of 2,000 prompt tokens; a plain request leaves for less."""
     prompt = make_prompt()
     other = make_candidate("b", is_local=False)
     near = make_candidate("a", load=Load(1, 1_500))
@@ -157,7 +157,7 @@
     assert place is not None
     assert place.state.info.id != home
     assert place.fetch_from == by_id[home].address
-    # One with other weights, or that cannot be reached, is not asked.
+    # Nothing is fetched from a server with other weights or an unreachable one.
     table.by_id[home].weights[MODEL] = 2
     table.by_id[first].connect_failures = 1
     place = await make_places(table).take(make_demand(prompt), 1, now)
@@ -187,7 +187,7 @@
 
 
 async def test_long_prompts_avoid_servers_reserved_for_short_ones() -> None:
-    """Pieces of long prompts make pauses in the answers that run beside them."""
+    """Prefilling a long prompt in chunks pauses the answers that run beside it."""
     servers = [make_server(f"s{n}") for n in range(20)]
     table = make_table(*servers)
     places = make_places(table)
@@ -199,7 +199,7 @@
             place = await places.take(make_demand(prompt), 1, now)
             assert place is not None
             assert (place.state.info.id in short) == (prompt.tokens == 600)
-    # Where those for long prompts are busy, the others help out, and the reverse.
+    # If the servers for long prompts are busy, the others help, and vice versa.
     for server_id, state in table.by_id.items():
         state.load = Load() if server_id in short else Load(30, 60_000, 9000)
     place = await places.take(make_demand(make_prompt()), 1, now)
@@ -234,7 +234,10 @@
 async def test_after_a_start_uncached_parts_are_fetched_from_the_store(
     is_complete: bool,
 ) -> None:
-    """All instances had begun anew: 1.8 million shared tokens had no source in 3 s."""
+    """An instance that has just started knows no copy of any part.
+
+    After a restart of all instances, 1.8 million shared tokens had no source in 3 s.
+    """
     prompt = make_prompt()
     table = make_table(make_server("a"), make_server("b"))
     places = make_places(table)
@@ -320,7 +323,7 @@
 async def test_a_slot_granted_while_its_waiter_is_cancelled_is_not_lost(
     is_given_first: bool,
 ) -> None:
-    """A request's caller leaves in the step in which it is given its place."""
+    """The slot is granted in the scheduler step in which the client disconnects."""
     table = make_table(make_server("a", slots=1))
     places = make_places(table)
     now = trio.current_time()
@@ -343,6 +346,6 @@
         places.give_back(granted[0])
         assert not places.waiting
         caller.cancel()
-    # It was handed over for use, or it is free again.
+    # The slot was either handed over or freed again.
     assert len(taken) == is_given_first
     assert table.by_id["a"].load.requests == len(granted) - 1 + len(taken)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement agrees without knowledge, follows the cache, and spreads load."""
+"""Placement is the same without information, follows the caches and spreads load."""
 
 from __future__ import annotations
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected of ending servers, and what becomes of them."""
+"""Requests that crash servers are suspected, contested and quarantined."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 from tests.scripted import BROKEN, RESUMABLE, Answer, run_call
 
 GAP = 0.5
-# The last of some ends, and when their case has settled.
+# The time of the last crash, and when its request is no longer held.
 LAST = 1000.0
 NOW = LAST + SETTLING_SECONDS
 
@@ -61,12 +61,12 @@
 def make_crashes(
     count: int = QUARANTINE_CRASHES, **changes: object
 ) -> list[ServerCrash]:
-    """Return ends of different servers one after the other, the last one now."""
+    """Return successive crashes of different servers, the last one at ``LAST``."""
     return [make_end(f"s{n}", LAST - n * GAP, **changes) for n in range(count)]
 
 
 def make_settled_crashes() -> list[ServerCrash]:
-    """Return the same of some time ago."""
+    """Return the same crashes 9 s earlier."""
     return [
         crash._replace(sent_at=crash.sent_at - 9.0, crashed_at=crash.crashed_at - 9.0)
         for crash in make_crashes()
@@ -115,7 +115,7 @@
 
 
 def test_servers_that_crash_together_quarantine_no_request() -> None:
-    # Seen by instances whose clocks differ, some on connections that were idle then.
+    # The clocks of the instances differ, and some connections were idle.
     crashes = [
         make_end(f"s{n}", LAST + n * CLOCK_ERROR_SECONDS / 18) for n in range(18)
     ]
@@ -230,7 +230,7 @@
     )
 
 
-# What an instance does with it.
+# The quarantine of one instance.
 
 
 def make_lost(server_id: str, fingerprint: str = FINGERPRINT) -> LostRequest:
@@ -344,7 +344,7 @@
     assert turns == [Turn.ALONE]
     await trio.sleep(0.7)
     assert turns == [Turn.ALONE] * 2
-    # The third has waited for as long as a request is held.
+    # The third has waited until its deadline.
     await trio.sleep(0.3)
     assert turns[2] is Turn.BUSY
 
@@ -415,7 +415,7 @@
 
 
 def make_contested(count: int) -> list[ServerCrash]:
-    """Return ends of two requests that were in flight at the same ones."""
+    """Return the crashes of two requests that were in flight at the same ones."""
     other = make_crashes(count, fingerprint="0" * 24)
     return make_crashes(count) + other
 
@@ -498,7 +498,7 @@
         nursery.start_soon(other.run)
         await trio.sleep(3.0)
         assert other.judge(FINGERPRINT) is QuarantineState.QUARANTINED
-        # Those that do not ask the store are told.
+        # Instances that do not read the store get the crashes from this one.
         assert sorted(recorder.take_server_ids()) == ["a", "b", "c"]
         other.clear(FINGERPRINT)
         await trio.sleep(0.1)
@@ -534,7 +534,7 @@
     assert not [key for table, key in store.rows if table == QUARANTINE_TABLE]
 
 
-# What becomes of a call.
+# The effect on a call.
 
 
 async def test_a_quarantined_request_is_refused_at_once_and_permanently(
@@ -594,7 +594,7 @@
 ) -> None:
     quarantine = make_quarantine()
     quarantine.take_told(make_crashes(1), "peer")
-    # The idlest one is cold and in another failure domain: slower, if anything.
+    # The least loaded server is cold and in another failure domain, so not the fastest.
     table = make_table(
         make_server("a"), make_server("b", failure_domain="south", cold_seconds=60.0)
     )
@@ -633,7 +633,7 @@
     assert len(bench.pool.requests) == 1
 
 
-# What comes from outside: rows of the store, and news of other instances.
+# Input from outside: rows of the store and updates from other instances.
 
 
 @given(
--- a/tests/test_ratelimits.py
+++ b/tests/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Which limit holds, in whatever order a server's answers are read."""
+"""The right rate limit applies in whatever order a server's answers are read."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 def test_earlier_answers_never_raise_a_lowered_limit(
     answers: list[tuple[float, float | None, float]],
 ) -> None:
-    """A server lowers its limit at 10 s: whatever was sent before changes nothing."""
+    """A server lowers its limit at 10 s; answers to earlier requests change nothing."""
     known = update_limit(NO_LIMIT, 1.0, sent_at=10.0, now=10.0)
     at = 10.0
     for sent_at, rate, gap in answers:
@@ -82,7 +82,7 @@
 
 @given(st.floats(0, 1e18))
 def test_no_window_of_permits_exceeds_the_bound(rate: float) -> None:
-    """What is earned and saved, and the steps of time, stay below it together."""
+    """The accrued and saved permits and the timer's margin stay below it together."""
     allowance = make_allowance(rate)
     pace = plan_accrual(allowance, SERVER_BOUNDS)
     seconds = SERVER_BOUNDS.window + pace.retention_seconds + MARGIN_SECONDS
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Retries, health, quotas, rollout and membership: the smaller decisions."""
+"""Retries, server health, quotas, rollouts, membership and burn rates."""
 
 from __future__ import annotations
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams reach their caller complete and in order, or say that they do not."""
+"""Streams reach their client complete and in order, or end with an error event."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FakeResponse:
-    """Sends numbered events in chunks of odd sizes, then ends or breaks."""
+    """Sends numbered events in chunks of any size, then ends or fails."""
 
     def __init__(self, numbers: list[int], cut_at: int, size: int):
         text = b"".join(make_event(number) for number in numbers)
@@ -121,7 +121,7 @@
 
 
 class HangingResponse(FakeResponse):
-    """Sends all events, and never ends."""
+    """Sends all events but never closes the response."""
 
     def __init__(self, numbers: list[int]) -> None:
         super().__init__(numbers, 0, 500)
@@ -132,7 +132,7 @@
 
 
 class RecordedClaims:
-    """The part of the claims that a stream's end is told to."""
+    """Stands in for the claims and records the answers finished or released."""
 
     def __init__(self) -> None:
         self.kept: list[bytes] = []
@@ -151,7 +151,7 @@
 async def read_and_disconnect(
     numbers: list[int], *, reads_to_end: bool
 ) -> tuple[Any, list]:
-    """Return what was kept of a claimed stream, and which streams were cancelled."""
+    """Return the claims of a stream whose client left, and the cancelled answers."""
     claims: Any = RecordedClaims()
     cancelled: list[EngineAnswer] = []
 
@@ -182,10 +182,9 @@
 async def test_a_complete_stream_is_kept_though_the_client_disconnects(
     reads_to_end: bool,
 ) -> None:
-    """A caller has the end event and leaves before the engine ends its connection.
+    """The client has the final event and disconnects before the engine closes.
 
-    Evidence: looked for after answers were lost as a connection closed; a stream that
-    was whole was not kept, so its repeat was refused as of unknown outcome.
+    If the complete stream is not kept, its retry is refused as of unknown outcome.
     """
     numbers = list(range(1, LENGTH + 1))
     claims, cancelled = await read_and_disconnect(numbers, reads_to_end=reads_to_end)
