--- a/tests/followed.py
+++ b/tests/followed.py
@@ -1,4 +1,4 @@
-"""Build a table that is followed, and what has been told of it."""
+"""Builders of a follower that records what it reports about one table."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FollowedTable:
-    """What a feed has told."""
+    """One table's follower, and the rows, failures and updates it has reported."""
 
     def __init__(self, store: MemoryStore, pause: float = 0.0):
         self.rows: dict[str, bytes | None] = {}
@@ -64,7 +64,7 @@
 
 @asynccontextmanager
 async def running(*followed: FollowedTable) -> AsyncIterator[None]:
-    """Have each follow its table meanwhile."""
+    """Run the followers for the duration of the block."""
     async with trio.open_nursery() as nursery:
         for one in followed:
             nursery.start_soon(one.run)
--- a/tests/row_builders.py
+++ b/tests/row_builders.py
@@ -1,4 +1,4 @@
-"""Build rows of operator and servers, and an instance's view that follows them."""
+"""Builders of operators' and servers' rows, and of a store view that follows them."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 class FollowedView:
-    """What one instance makes of the tables of a store that it follows."""
+    """The store view and the members of one instance that follows a store's tables."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -1,4 +1,4 @@
-"""One instance asks the cache store, the others hear of its events."""
+"""A reader polls the cache store, and other instances apply the events it forwards."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class LimitedCacheStore(FakeCacheStore):
-    """A cache store that holds a dozen calls at once, and refuses others."""
+    """A cache store that refuses calls beyond a dozen at once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -74,7 +74,7 @@
 
 
 class ReaderAndListener:
-    """A reader and one that listens to it."""
+    """A reader, and an instance that receives its updates."""
 
     def __init__(self) -> None:
         self.store = FakeCacheStore()
@@ -110,7 +110,7 @@
         pair.store.add("shop")
         await trio.sleep(1.5)
         assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
-        # Only the reader has asked: at most once a second and a pause.
+        # Only the reader has called: at most one call a second, and one a pause.
         assert pair.store.calls - before <= 5
         nursery.cancel_scope.cancel()
 
@@ -141,7 +141,7 @@
             await trio.sleep(0.01)
         pair.is_forwarding = True
         pair.store.add("shop")
-        # At once after the word that shows the gap, not after the readers' silence.
+        # At once after the update that shows the gap, not after the idle timeout.
         with trio.fail_after(READERS_IDLE_TIMEOUT_SECONDS / 2):
             while (
                 pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
@@ -155,10 +155,10 @@
 async def test_late_answer_does_not_undo_newer_events(
     autojump_clock: object,
 ) -> None:
-    """A waiting call's answer is older than what a reader tells while it travels.
+    """Guards against an answer that is applied after a newer update.
 
-    Evidence: looked for after an incident in which one task acted on what it had
-    known before another went on; the part counted as held until its next event.
+    The answer is made before an update that removes a part, but arrives after it. The
+    part then counted as stored until its next event.
     """
     answer_made, update_taken = trio.Event(), trio.Event()
     first = CacheEvent(1, "s", "rules", True)
@@ -190,7 +190,10 @@
 async def test_contents_are_incomplete_when_history_is_gone(
     autojump_clock: object,
 ) -> None:
-    """The store's older events are gone: reader and listener both know so."""
+    """The store has dropped its oldest events, so neither instance has all parts.
+
+    Both have them after the store's next epoch, which starts with all events.
+    """
     pair = ReaderAndListener()
     for part in ("rules", "shop"):
         pair.store.add(part)
@@ -244,7 +247,7 @@
         picked = [contents.pick(prompt, "w") for prompt in prompts]
         addresses = [one.store.address for one in picked if one is not None]
         assert min(addresses.count(store.address) for store in stores) >= 4
-        # One that is down, or no longer declared, gets nothing; others keep theirs.
+        # A store that is down or undeclared gets no prompt; the others keep theirs.
         contents.by_address[stores[0].address].is_up = False
         for prompt, address in zip(prompts, addresses, strict=True):
             now = contents.pick(prompt, "w")
@@ -261,8 +264,11 @@
 async def test_large_fleet_does_not_overload_a_store(
     autojump_clock: object,
 ) -> None:
-    """A hundred asked again and again: 2,000 calls refused in 10 s, and most of the
-    instances took the store for lost."""
+    """Guards against a fleet that overloads a cache store with calls.
+
+    When all of a hundred instances polled the store, it refused 2,000 calls in 10 s,
+    and most instances regarded it as down.
+    """
     store = LimitedCacheStore()
     others = [CacheStores(lambda: False) for _ in range(100)]
 
@@ -283,7 +289,7 @@
         store.add("rules")
         await trio.sleep(4.0)
         assert store.refused == 0
-        # Instances that start late ask once for what there was before, all at once.
+        # Instances that start late each call once for the earlier events, all at once.
         late = [CacheStores(lambda: False) for _ in range(100)]
         others += late
         for stores in late:
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -1,8 +1,8 @@
-"""Rows that any writer may have damaged: they name nothing to use, all others hold.
+"""Damaged rows of the store are skipped, and all other rows are applied.
 
-One entry that is not whole ended the process that read it, and each of its starts
-after that, on every instance. Others were taken for servers: one with "x" slots, one
-at the address "nowhere", one whose state nobody knows.
+The tests guard against a single incomplete entry that crashes every instance that reads
+it, and crashes it again at each start, and against damaged entries that are accepted as
+servers: one with "x" slots, one at the address "nowhere", one in an unknown state.
 """
 
 from __future__ import annotations
@@ -124,7 +124,7 @@
         )
     },
 }
-# Knowledge is confirmed at least so often while the store answers (seconds).
+# The greatest age of confirmed knowledge while the store answers (seconds).
 BOUND_AGE = 2.0
 
 
@@ -173,7 +173,7 @@
 def test_engine_without_a_model_is_not_used() -> None:
     places = make_places(make_table(make_server("a", weights={})))
     assert places._find(make_demand(make_prompt()), 0.0) is None
-    # A server of a plain service has none, whatever a client's headers say.
+    # A server of a plain service needs no model, whatever a client's headers request.
     plain = make_server("p", weights={}, service="plain")
     places = make_places(make_table(plain))
     assert places._find(make_demand(make_prompt(), "plain"), 0.0) is not None
@@ -209,7 +209,7 @@
         followed.store.put("servers", "a", b"{}")
         await trio.sleep(1.0)
         assert followed.list_usable() == ["b"]
-        # Read whole, as after lost history, it is the same.
+        # The same holds when the whole table is read, as after lost history.
         followed.store.forget_history()
         await trio.sleep(8.0)
         assert followed.list_usable() == ["b"]
@@ -235,7 +235,7 @@
         assert knowledge.declaration is not None
         assert set(knowledge.declaration.teams_by_key) == {"k1", "k2"}
         assert knowledge.measure_age(trio.current_time()) < BOUND_AGE
-        # The next good one takes a key away, whatever came between.
+        # The next valid configuration removes a key.
         tenants = [{"name": "t1", "api_keys": ["k1"]}]
         newer = CONFIGURATION | {"version": 9, "tenants": tenants}
         followed.store.put("op", "config", orjson.dumps(newer))
@@ -280,7 +280,7 @@
     async with trio.open_nursery() as nursery:
         followed.start(nursery)
         await trio.sleep(1.0)
-        # What its own row should hold, an instance knows.
+        # An instance lists itself even if its own row is damaged.
         assert sorted(followed.members.by_name) == ["i", "i3"]
         nursery.cancel_scope.cancel()
 
@@ -303,7 +303,7 @@
     fleet = Fleet(2)
     earlier = {"holder": "gone", "fence": 40, "beat": 0, "renewed_at": 0.0}
     for _ in range(50):
-        # Each raise of the fence is a write, so that it never passes the version.
+        # Each increase of the fence takes a write, so it never exceeds the version.
         fleet.store.put(LEASE_TABLE, make_lease_key(1), orjson.dumps(earlier))
     fleet.store.put(LEASE_TABLE, make_lease_key(1), b'{"holder": 7}')
     async with trio.open_nursery() as nursery:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -1,9 +1,9 @@
-"""The store comes back from an older copy: what is known stays known, and is kept.
+"""The store is restored from an older copy, and its data enter another era.
 
-Versions are given out again, and what was acknowledged may be gone. On the code before,
-an instance that had asked for what came after a version went on asking, heard nothing
-until that version was reached again, and took each empty answer for confirmation: a key
-that was removed then was served for good.
+Versions are assigned again, and acknowledged writes may be lost. The tests guard
+against instances that keep requesting changes after a version of the earlier era: they
+received none until that version was reached again, and took each empty answer as a
+confirmation, so that a key which was removed meanwhile stayed accepted for good.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def restore_and_reach_version(store: MemoryStore, steps: int = 13) -> None:
-    """Write, lose what was written, and write as much again as others would."""
+    """Restore the store to before ``steps`` writes, so that versions are reused."""
     copy = store.take_copy()
     for number in range(steps):
         store.put("other", f"lost {number}", b"x")
@@ -128,7 +128,7 @@
         store.answer_seconds = 0.5
         store.return_from(store.take_copy())
         await trio.sleep(0.8)
-        # Another call of this instance hears of the next return while one is out.
+        # Another call of this instance reports the next restore during a call.
         store.return_from(store.take_copy())
         followed.follower._store.era.note(store.era, trio.current_time(), 0.0)
         store.answer_seconds = 0.004
@@ -172,7 +172,7 @@
 def test_all_are_equal_to_the_store_when_it_has_settled(
     steps: list[tuple[str, str, int]],
 ) -> None:
-    """Writes, copies, returns, lost history and outages, in any order."""
+    """Tries writes, copies, restores, lost history and outages in any order."""
 
     async def play() -> None:
         store = MemoryStore()
@@ -226,10 +226,10 @@
     assert era.note(3, 0.0, 0.1)
     assert seen == []
     assert era.note(4, 1.0, 5.0)
-    # Sent before the change was seen, answered before it: late.
+    # Sent before the change was seen and naming the earlier era: a late answer.
     assert not era.note(3, 4.0, 6.0)
     assert era.note(None, 4.0, 6.0)
-    # Sent after it: the store has gone back.
+    # Sent after the change: the store was restored to an earlier era.
     assert era.note(2, 6.0, 7.0)
     assert seen == [4, 2]
     assert era.changes == 2
@@ -254,7 +254,7 @@
     assert parse_era([]) is None
 
 
-# What the tables hold.
+# Rows of the tables: configuration, servers, members, secret and quarantine.
 
 
 def remove_key(version: int) -> bytes:
@@ -278,7 +278,7 @@
     store.return_from(copy)
     store.put("other", "x", b"1")
     await trio.sleep(3.0)
-    # The copy holds the key; what was declared later goes before it.
+    # The copy holds the key, but the newer configuration stays in force.
     assert knowledge.declaration.version == 8
     store.put(OPERATOR_TABLE, "config", remove_key(9))
     await trio.sleep(0.1)
@@ -331,12 +331,13 @@
         now = trio.current_time()
         return {state.info.id for state in table.list_usable("s1", now)}
 
-    # One that the copy lacks is used on only if all are gone; it is back at once.
+    # A server that the copy lacks is used only if no other is left. Its new entry makes
+    # it usable at once.
     assert list_usable() == {"lives"}
     store.put(SERVERS_TABLE, "new", orjson.dumps({**SERVER, "address": "10.0.0.9:1"}))
     await trio.sleep(0.5)
     assert list_usable() == {"lives", "new"}
-    # Written again, it is there again, whatever was known.
+    # A new entry makes a server usable even if it was removed before.
     store.put(SERVERS_TABLE, "gone", orjson.dumps(SERVER))
     await trio.sleep(0.5)
     assert list_usable() == {"lives", "new", "gone"}
@@ -366,8 +367,8 @@
     store.put("other", "x", b"1")
     await trio.sleep(1.0)
     rows = {key for table, key in store.rows if table == MEMBERS_TABLE}
-    # The own row is back, that of one that left is removed; the other one, whose row
-    # it writes itself, counts for a while.
+    # The instance has written its own row again and removed the row of the member that
+    # left. The third member writes its own row, and stays listed for a while without.
     assert rows == {"i"}
     assert set(members.by_name) == {"i", "newer"}
     await trio.sleep(MEMBERS_SECONDS)
@@ -449,7 +450,7 @@
 
 
 class Contender:
-    """One instance's lease, and the grants under which it may have given orders."""
+    """One instance's lease, and the orders that it may have given under it."""
 
     def __init__(self, name: str, store: MemoryStore, names: list[str]):
         self.name = name
@@ -472,7 +473,7 @@
 
 
 def check_orders(orders: list[tuple[float, str, int]]) -> None:
-    """Orders of two holders are apart, and their fencing numbers rise."""
+    """Check that two holders never overlap and that fencing numbers rise."""
     holders: dict[int, str] = {}
     for (at, name, fence), (next_at, next_name, next_fence) in zip(
         orders, orders[1:], strict=False
@@ -488,7 +489,7 @@
 async def test_fences_rise_and_holders_do_not_overlap(
     seed: int, autojump_clock: object
 ) -> None:
-    """Copies, returns, cuts and new instances, in any order."""
+    """Tries copies, outages, restores and cut-off instances in random order."""
     rng = random.Random(seed)
     store = MemoryStore()
     names = [f"i{number}" for number in range(4)]
@@ -539,7 +540,11 @@
 async def test_write_on_a_reused_version_grants_no_lease(
     autojump_clock: object,
 ) -> None:
-    """A holder that has not heard of the return renews on a version given out twice."""
+    """Guards against a renewal whose condition holds only by a reused version.
+
+    The holder has not yet seen the restore, after which the same version was assigned
+    to another row.
+    """
     store = MemoryStore()
     contender = Contender("i0", store, ["i0"])
     for _ in range(3):
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -1,4 +1,4 @@
-"""Tables are followed through outages, lost history and changes in between."""
+"""Followers keep up with a table through outages and lost history."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     assert events.count("store_regained") == 1
 
 
-# Bounds of revocation and times that a store takes to answer, in seconds.
+# Revocation bounds, and the times that the store takes to answer (seconds).
 @pytest.mark.parametrize(
     ("bound", "answer_seconds"),
     [(2.0, 0.004), (3.0, 0.004), (5.0, 0.004), (5.0, 0.6), (30.0, 0.004)],
@@ -81,11 +81,12 @@
 async def test_knowledge_stays_fresh_without_readers(
     bound: float, answer_seconds: float, autojump_clock: object
 ) -> None:
-    """One that no reader told asked, after its patience, by a call that waits.
+    """Guards against an instance without updates that calls the store too late.
 
-    Evidence: soak seed 6004, an instance that took a stand-by for its hub: the ages of
-    its knowledge ran up to 4.0 s of 5 s, again and again, and from 3.75 s on every
-    call with a key was refused; the store answered all the time.
+    After its idle timeout, the instance made a call that waits for changes. Its
+    knowledge repeatedly reached an age of 4.0 s of the bound's 5 s. From 3.75 s on, it
+    refused every request with a key, although the store answered all the time. An
+    instance that takes a standby for its group's hub receives no updates.
     """
     store = MemoryStore()
     store.answer_seconds = answer_seconds
@@ -105,10 +106,10 @@
 async def test_first_call_after_an_outage_does_not_wait(
     autojump_clock: object,
 ) -> None:
-    """Knowledge that is old already does not grow older while a call waits.
+    """Guards against stale knowledge that ages further while a call waits.
 
-    Evidence: found by reading while soak seed 6004 was traced; in this test's world a
-    reader learned 2.3 s after the store was back that nothing had changed meanwhile.
+    The first call after an outage waited for changes, so a reader learned only 2.3 s
+    after the outage's end that nothing had changed.
     """
     store = MemoryStore()
     followed = FollowedTable(store)
--- a/tests/test_feeds_forwarding.py
+++ b/tests/test_feeds_forwarding.py
@@ -1,4 +1,4 @@
-"""Most instances are told by readers, and ask only for what they have missed."""
+"""Instances apply forwarded updates, and call the store only for missed changes."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
 async def test_table_reread_by_a_reader_is_forwarded(
     autojump_clock: object,
 ) -> None:
-    """A reader whose history was lost told no one what it then read.
+    """Guards against a reader that does not forward a table it had to read again.
 
-    Evidence: soak seed 6004: a reader read the members anew, learned from them of an
-    instance that was to be its group's hub, and left the hub's work to it. Its member,
-    told of nothing, kept to the former hub and heard no news for 14 s.
+    A reader read the table of members again after lost history, found another instance
+    that was to be its group's hub, and handed that task over. The instances of the
+    group did not receive the table, kept the former hub and got no update for 14 s.
     """
     store = MemoryStore()
     store.put("t", "a", b"1")
@@ -76,11 +76,10 @@
 async def test_changes_requested_by_a_hub_reach_its_group(
     autojump_clock: object,
 ) -> None:
-    """A hub that missed a change closed the gap for itself and left its group with it.
+    """Guards against a hub that requests a missed change and does not forward it.
 
-    Evidence: trials on the trace of soak seed 6004: after a lost history the members of
-    a group whose hub is no reader learned of a new instance 17.6 s later, the others
-    after 0.3 s.
+    After lost history, the members of a group whose hub is no reader learned of a new
+    instance after 17.6 s, those of other groups after 0.3 s.
     """
     store = MemoryStore()
     reader, hub, member = (
@@ -107,15 +106,15 @@
         await trio.sleep(0.1)
         assert hub.rows == {"a": b"1", "b": b"2"}
         assert member.rows == hub.rows
-        # Nor did the member ask for what its hub had asked for.
+        # The hub's call served the member too.
         assert len(store.calls) == calls + 1
         store.put("other", "x", b"1")
         store.forget_history()
         store.put("t", "c", b"3")
         await trio.sleep(0.1)
         calls = len(store.calls)
-        # What a reader reads anew it tells whole: the hub takes it, passes it on, and
-        # neither asks.
+        # A table that a reader reads again is forwarded whole: the hub applies and
+        # forwards it, and neither the hub nor the member calls the store.
         assert hub.follower.apply_update(forwarded[-1])
         forward(forwarded[-1])
         assert hub.rows == {"a": b"1", "b": b"2", "c": b"3"}
@@ -127,7 +126,7 @@
 async def test_first_read_of_a_reader_is_not_forwarded(
     autojump_clock: object,
 ) -> None:
-    """Only what was lost has to be asked for; a first answer tells others nothing."""
+    """A first read shows no missed change, so others need not call the store."""
     store = MemoryStore()
     store.put("t", "a", b"1")
     reader = FollowedTable(store)
@@ -154,10 +153,9 @@
 async def test_gap_found_during_a_call_is_requested(
     autojump_clock: object,
 ) -> None:
-    """An answer made before a change was missed does not count the gap as closed.
+    """Guards against an answer that clears a gap found after the answer was made.
 
-    Evidence: looked for after an incident in which one task acted on what it had
-    known before another went on; the change was taken up 3.0 s later, not at once.
+    The missed change was then applied 3.0 s later instead of at once.
     """
     store = MemoryStore()
     other = FollowedTable(store)
@@ -202,7 +200,7 @@
 async def test_update_from_the_future_is_rejected(
     autojump_clock: object,
 ) -> None:
-    """The store's clock has started anew, or the sender's idea of it is wrong."""
+    """The store's clock has restarted, or the sender's estimate of it is wrong."""
     store = MemoryStore()
     other = FollowedTable(store)
     other.is_reader = False
@@ -217,7 +215,10 @@
 async def test_clock_is_resynced_by_one_table_only(
     autojump_clock: object,
 ) -> None:
-    """Each of three did so: 585 calls a minute of 195 instances, where 195 do."""
+    """Guards against calls for each of the three tables to correct the same clock.
+
+    That made 585 calls a minute for 195 instances, where 195 calls are enough.
+    """
     store = MemoryStore()
     clock = StoreClock()
     followed = [FollowedTable(store) for _ in range(3)]
--- a/tests/test_key_removal_after_restore.py
+++ b/tests/test_key_removal_after_restore.py
@@ -1,12 +1,11 @@
-"""A key is removed just after the store has come back from an older copy.
-
-What was seen, in a trial with three instances: the store was away for half a second and
-came back from a copy 13 versions older; a key was removed, and servers wrote their
-entries, so that the version which the instances knew was reached again. Six seconds
-later all of them still served the removed key, 12 requests of 12; the bound is five.
-
-The cause. They went on asking for what came after that version, and got nothing. Each
-empty answer confirmed what they knew.
+"""A key is removed right after the store was restored from an older copy.
+
+The test guards against instances that keep accepting the removed key. The store was
+away for half a second and was restored from a copy that was 13 versions older. Then a
+key was removed, and further writes brought the store to the version that the instances
+knew. They kept requesting the changes after that version, and each empty answer
+confirmed the outdated configuration. Six seconds later three instances still accepted
+the key in 12 requests of 12; the bound is 5 s.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
         copy = memory.take_copy()
         for number in range(LOST_VERSIONS):
             memory.put("other", f"lost {number}", b"x")
-        # Servers' entries go with them, so that all follow to the newest version.
+        # Writes to both followed tables bring all followers to the newest version.
         for number in range(3):
             entry = memory.rows["servers", f"s{number}-0"].value
             memory.put("servers", f"s{number}-0", entry)
