--- a/tests/test_cachestores.py
+++ b/tests/test_cachestores.py
@@ -73,22 +73,22 @@
             self.running_calls -= 1
 
 
-class ReaderAndListener:
+class ReaderAndReceiver:
     """A reader, and an instance that receives its updates."""
 
     def __init__(self) -> None:
         self.store = FakeCacheStore()
         self.is_forwarding = True
         self.reader = CacheStores(lambda: True, self.forward)
-        self.listener = CacheStores(lambda: False)
+        self.receiver = CacheStores(lambda: False)
 
     def forward(self, update: TableUpdate) -> None:
         if self.is_forwarding:
-            self.listener.apply_update(update)
+            self.receiver.apply_update(update)
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            for stores in (self.reader, self.listener):
+            for stores in (self.reader, self.receiver):
                 nursery.start_soon(
                     stores.follow,
                     lambda: (STORE,),
@@ -98,18 +98,18 @@
 
 
 async def test_forwarded_events_are_applied(autojump_clock: object) -> None:
-    pair = ReaderAndListener()
+    pair = ReaderAndReceiver()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
         await trio.sleep(3.0)
         before = pair.store.calls
         pair.store.add("rules")
         await trio.sleep(1.5)
-        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
+        assert pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
         pair.store.add("rules", is_stored=False)
         pair.store.add("shop")
         await trio.sleep(1.5)
-        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+        assert pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 0
         # Only the reader has called: at most one call a second, and one a pause.
         assert pair.store.calls - before <= 5
         nursery.cancel_scope.cancel()
@@ -118,19 +118,19 @@
 async def test_instance_asks_the_store_after_the_idle_timeout(
     autojump_clock: object,
 ) -> None:
-    pair = ReaderAndListener()
+    pair = ReaderAndReceiver()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
         await trio.sleep(3.0)
         pair.is_forwarding = False
         pair.store.add("rules")
         await trio.sleep(READERS_IDLE_TIMEOUT_SECONDS + 1.5)
-        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
+        assert pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
         nursery.cancel_scope.cancel()
 
 
 async def test_missed_event_is_requested_at_once(autojump_clock: object) -> None:
-    pair = ReaderAndListener()
+    pair = ReaderAndReceiver()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
         await trio.sleep(3.0)
@@ -144,10 +144,10 @@
         # At once after the update that shows the gap, not after the idle timeout.
         with trio.fail_after(READERS_IDLE_TIMEOUT_SECONDS / 2):
             while (
-                pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+                pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 0
             ):
                 await trio.sleep(0.01)
-        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 2000
+        assert pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 2000
         assert pair.store.calls > calls
         nursery.cancel_scope.cancel()
 
@@ -194,14 +194,14 @@
 
     Both have them after the store's next epoch, which starts with all events.
     """
-    pair = ReaderAndListener()
+    pair = ReaderAndReceiver()
     for part in ("rules", "shop"):
         pair.store.add(part)
     pair.store.first_kept = 1
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
         await trio.sleep(3.0)
-        contents = [s.by_address[STORE.address] for s in (pair.reader, pair.listener)]
+        contents = [s.by_address[STORE.address] for s in (pair.reader, pair.receiver)]
         assert [c.is_complete for c in contents] == [False, False]
         pair.store.epoch += 1
         pair.store.events.clear()
@@ -212,19 +212,19 @@
 
 
 async def test_restarted_store_is_empty(autojump_clock: object) -> None:
-    pair = ReaderAndListener()
+    pair = ReaderAndReceiver()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(pair.run)
         await trio.sleep(1.0)
         pair.store.add("rules")
         await trio.sleep(1.5)
-        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
+        assert pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 1000
         pair.store.epoch = 6
         pair.store.events.clear()
         pair.store.add("shop")
         await trio.sleep(4.0)
         assert pair.reader.by_address[STORE.address].count_tokens("s", PROMPT) == 0
-        assert pair.listener.by_address[STORE.address].count_tokens("s", PROMPT) == 0
+        assert pair.receiver.by_address[STORE.address].count_tokens("s", PROMPT) == 0
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -125,7 +125,7 @@
     },
 }
 # The greatest age of confirmed knowledge while the store answers (seconds).
-BOUND_AGE = 2.0
+MAX_KNOWLEDGE_AGE = 2.0
 
 
 @pytest.mark.parametrize("value", DAMAGED_SERVERS.values(), ids=DAMAGED_SERVERS)
@@ -234,7 +234,7 @@
         knowledge = followed.view.knowledge
         assert knowledge.declaration is not None
         assert set(knowledge.declaration.teams_by_key) == {"k1", "k2"}
-        assert knowledge.measure_age(trio.current_time()) < BOUND_AGE
+        assert knowledge.measure_age(trio.current_time()) < MAX_KNOWLEDGE_AGE
         # The next valid configuration removes a key.
         tenants = [{"name": "t1", "api_keys": ["k1"]}]
         newer = CONFIGURATION | {"version": 9, "tenants": tenants}
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -41,7 +41,7 @@
 LEASE_SECONDS = 3.0
 
 
-def restore_and_reach_version(store: MemoryStore, steps: int = 13) -> None:
+def restore_after_lost_writes(store: MemoryStore, steps: int = 13) -> None:
     """Restore the store to before ``steps`` writes, so that versions are reused."""
     copy = store.take_copy()
     for number in range(steps):
@@ -110,7 +110,7 @@
     other.is_reader = False
     async with running(other):
         await trio.sleep(0.1)
-        restore_and_reach_version(store)
+        restore_after_lost_writes(store)
         store.put("t", "a", b"2")
         other.follower._store.era.note(store.era, trio.current_time(), 0.0)
         await trio.sleep(RESTORE_TIMEOUT_SECONDS + 0.1)
@@ -145,7 +145,7 @@
     followed = FollowedTable(store)
     async with running(followed):
         await trio.sleep(0.1)
-        restore_and_reach_version(store)
+        restore_after_lost_writes(store)
         store.put("t", "a", b"2")
         await trio.sleep(2.5)
         late = TableUpdate("t", 0, 99, 0.0, (Row("t", "a", b"late", 99),), era=1)
@@ -169,7 +169,7 @@
 
 
 @given(STEPS)
-def test_all_are_equal_to_the_store_when_it_has_settled(
+def test_followers_match_the_store_after_any_steps(
     steps: list[tuple[str, str, int]],
 ) -> None:
     """Tries writes, copies, restores, lost history and outages in any order."""
@@ -180,12 +180,14 @@
         other.is_reader = False
         copy = store.take_copy()
 
-        async def carry(update: TableUpdate) -> None:
+        async def forward_later(update: TableUpdate) -> None:
             await trio.sleep(0.05)
             other.follower.apply_update(update)
 
         async with trio.open_nursery() as nursery:
-            reader.follower._publish = lambda update: nursery.start_soon(carry, update)
+            reader.follower._publish = lambda update: nursery.start_soon(
+                forward_later, update
+            )
             nursery.start_soon(reader.run)
             nursery.start_soon(other.run)
             await trio.sleep(0.1)
@@ -460,11 +462,11 @@
         self.order_lease = OrderLease(
             self.lease, self.port, StoreClock(), log, lambda: names, InvalidRows(log)
         )
-        self.is_cut = False
+        self.is_unreachable = False
 
     async def run(self, orders: list[tuple[float, str, int]]) -> None:
         while True:
-            if not self.is_cut:
+            if not self.is_unreachable:
                 await self.order_lease.hold(trio.current_time(), 60.0)
             now = trio.current_time()
             if self.lease.holds(now):
@@ -502,8 +504,8 @@
             await trio.sleep(rng.uniform(0.5, 4.0))
             copy = store.take_copy()
             await trio.sleep(rng.uniform(0.0, 6.0))
-            cut = rng.choice(contenders)
-            cut.is_cut = rng.random() < 0.6
+            unreachable = rng.choice(contenders)
+            unreachable.is_unreachable = rng.random() < 0.6
             store.is_down = True
             await trio.sleep(rng.uniform(0.1, 2.0))
             store.is_down = False
@@ -511,7 +513,7 @@
             for number in range(rng.randrange(30)):
                 store.put("other", str(number), b"x")
             await trio.sleep(rng.uniform(0.0, 9.0))
-            cut.is_cut = False
+            unreachable.is_unreachable = False
         await trio.sleep(15.0)
         nursery.cancel_scope.cancel()
     check_orders(orders)
