--- a/ashpond/controllers/engines.py
+++ b/ashpond/controllers/engines.py
@@ -71,7 +71,7 @@
         """Whether the engine is loading other weights."""
         return self.report is not None and bool(self.report.loading)
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def apply_report(self, report: LoadReport, now: float) -> None:
         """Apply a load report; a new incarnation starts with an empty cache."""
         if self.view.adopt_incarnation(report.incarnation):
             logger.notice(
@@ -175,12 +175,12 @@
         feed = follow_feed(self._client, state.config.address, state.view.last_event)
         async with aclosing(feed):
             async for line in feed:
-                self._take_line(state, line)
+                self._apply_feed_line(state, line)
 
-    def _take_line(self, state: ServerState, line: FeedLine) -> None:
+    def _apply_feed_line(self, state: ServerState, line: FeedLine) -> None:
         now = trio.current_time()
         before = state.watched
-        state.take_report(line.report._replace(observed_at=now - line.age), now)
+        state.apply_report(line.report._replace(observed_at=now - line.age), now)
         self._detect_restart(state, before)
         self._set_draining(state, line.report.draining)
         if line.events is not None and state.view.note_events(*line.events):
--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -107,7 +107,7 @@
         """Record that the store did not answer."""
         self._failed_at = trio.current_time()
 
-    def take_operator_rows(
+    def apply_operator_rows(
         self, snapshot: Snapshot, is_whole: bool, as_of: float
     ) -> None:
         """Apply rows of the operators' table, which are valid as of ``as_of``."""
@@ -124,35 +124,37 @@
                     "configuration", version=found.version, row_version=row.version
                 )
             elif isinstance(found, WeightTarget):
-                self._on_weight_target(found, now)
+                self._apply_weight_target(found, now)
         if not self._is_restoring():
             self.knowledge.confirm(as_of)
 
-    def _on_weight_target(self, target: WeightTarget, now: float) -> None:
+    def _apply_weight_target(self, target: WeightTarget, now: float) -> None:
         if self.knowledge.adopt_target(target, now):
             self._log.note("weights_wanted", model=target.model, version=target.version)
             self._on_target()
 
-    def take_server_rows(
+    def apply_server_rows(
         self, snapshot: Snapshot, is_whole: bool, as_of: float
     ) -> None:
         """Apply rows of the servers' table; ``is_whole`` if they are all its rows."""
         now = trio.current_time()
         may_reappear = now - self._failed_at < RECENT_OUTAGE_SECONDS
         if is_whole:
-            self._take_all_servers(snapshot, now, may_reappear)
+            self._replace_servers(snapshot, now, may_reappear)
         else:
             for row in snapshot.rows:
-                self._on_server_row(row, now, may_reappear)
+                self._apply_server_row(row, now, may_reappear)
         self._on_servers()
 
-    def _take_all_servers(
+    def _replace_servers(
         self, snapshot: Snapshot, now: float, may_reappear: bool
     ) -> None:
         decoded = {row.key: self._decode_server(row) for row in snapshot.rows}
         servers = [s for s in decoded.values() if isinstance(s, BackendServer)]
         if self._is_restoring():
-            servers = [s for s in map(self._correct_restored, servers) if s is not None]
+            servers = [
+                s for s in map(self._correct_restored_entry, servers) if s is not None
+            ]
         invalid = {key for key, s in decoded.items() if isinstance(s, InvalidRow)}
         for removed in self.table.replace_all(
             servers, now, may_reappear=may_reappear, invalid=invalid
@@ -177,7 +179,7 @@
             del self._removed[oldest]
         self._on_removed(removed)
 
-    def _correct_restored(self, server: BackendServer) -> BackendServer | None:
+    def _correct_restored_entry(self, server: BackendServer) -> BackendServer | None:
         """Return a restored entry, corrected by newer knowledge of the same start.
 
         The copy may still hold a removed server (None is returned), or show a draining
@@ -208,7 +210,7 @@
             self._invalid_rows.clear(row.table, row.key)
         return found
 
-    def _on_server_row(self, row: Row, now: float, may_reappear: bool) -> None:
+    def _apply_server_row(self, row: Row, now: float, may_reappear: bool) -> None:
         server = self._decode_server(row)
         if isinstance(server, InvalidRow):
             self.table.note_invalid_entry(row.key)
@@ -248,7 +250,7 @@
             operator_wait,
             0.0,
             operator_wait + idle_timeout,
-            view.take_operator_rows,
+            view.apply_operator_rows,
             view.note_failure,
         ),
         Feed(
@@ -256,7 +258,7 @@
             SERVERS_WAIT_SECONDS,
             SERVERS_PAUSE_SECONDS,
             SERVERS_WAIT_SECONDS + idle_timeout,
-            view.take_server_rows,
+            view.apply_server_rows,
             view.note_failure,
         ),
         Feed(
