--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -1,9 +1,10 @@
 """Follow the store's tables: operators' rows, backend servers, other instances.
 
 In a small fleet each instance calls the store itself. In a large fleet a few readers
-do so and forward the changes as updates. The other instances call the store only if no
-update has arrived for a while, if they have missed a change, or to correct their
-estimate of the store's clock.
+do so and forward the changes as updates, which the hub of each group of instances
+forwards to its group. The other instances call the store only if no update has arrived
+for a while, if they have missed a change, or to correct their estimate of the store's
+clock.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 # The pause before a failed call is retried, doubled up to the limit (seconds).
 RETRY_SECONDS = 0.1
 RETRY_LIMIT_SECONDS = 0.6
-# The limit for an instance that a reader's update wakes in any case (seconds).
+# The limit for an instance that is no reader: an update wakes it earlier (seconds).
 IDLE_RETRY_LIMIT_SECONDS = 2.0
 # Clocks drift by up to 0.1 ms a second, so an instance that receives updates still
 # calls the store at this interval (seconds). It does so for one of its tables only: any
@@ -35,8 +36,8 @@
 RESTORE_TIMEOUT_SECONDS = 1.5
 # A whole table is forwarded in one message up to this total size of its values (bytes).
 MAX_WHOLE_BYTES = 400_000
-# An update without new rows is forwarded only if it confirms a table's rows as of a
-# moment at least this much later (seconds).
+# An update without new rows is forwarded only if it confirms the known rows as of a
+# time at least this much later than before (seconds).
 MIN_FORWARD_SECONDS = 0.2
 
 
--- a/ashpond/controllers/rollout.py
+++ b/ashpond/controllers/rollout.py
@@ -36,8 +36,8 @@
     """Contends for the leases of model services and orders weights while holding them.
 
     Only two instances contend for each lease, so that the number of reads from the
-    platform does not grow with the number of instances. Each instance computes the same
-    two from the list of members.
+    platform does not grow with the number of instances. All instances choose the same
+    two from the list of live members.
     """
 
     def __init__(
