--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -25,15 +25,15 @@
 LIMIT = Allowance(125_000.0, 125_000.0, AllowanceUnit.TOKENS, 200)
 MAX_FRAME_BYTES = 1 << 20
 # A server that all instances know.
-LIMITED = "s1"
-LAG_SECONDS = 0.002
-DOMAINS = 4
+LIMITED_SERVER = "s1"
+LATENCY_SECONDS = 0.002
+FAILURE_DOMAINS = 4
 # Requests and their shares: long prompts, short ones, and a few of the longest.
-SIZES = ((9_200, 0.36), (860, 0.63), (50_000, 0.01))
-MEAN_SIZE = sum(size * share for size, share in SIZES)
+REQUEST_SIZES = ((9_200, 0.36), (860, 0.63), (50_000, 0.01))
+MEAN_SIZE = sum(size * share for size, share in REQUEST_SIZES)
 
 
-class Use(NamedTuple):
+class RequestResult(NamedTuple):
     """One request of a client, and what became of it."""
 
     at: float
@@ -49,19 +49,19 @@
     def __init__(self, fleet: Fleet, ends: tuple[str, str]):
         self._fleet = fleet
         self._ends = ends
-        self._pieces: deque[tuple[float, bytes]] = deque()
-        self._news = trio.Event()
+        self._chunks: deque[tuple[float, bytes]] = deque()
+        self._has_data = trio.Event()
 
     def put(self, data: bytes) -> None:
-        self._pieces.append((trio.current_time() + LAG_SECONDS, data))
-        self._news.set()
+        self._chunks.append((trio.current_time() + LATENCY_SECONDS, data))
+        self._has_data.set()
 
-    async def carry(self, target: trio.abc.SendStream) -> None:
+    async def deliver(self, target: trio.abc.SendStream) -> None:
         while True:
-            await self._news.wait()
-            self._news = trio.Event()
-            while self._pieces:
-                at, data = self._pieces.popleft()
+            await self._has_data.wait()
+            self._has_data = trio.Event()
+            while self._chunks:
+                at, data = self._chunks.popleft()
                 await trio.sleep_until(at)
                 await self._fleet.wait_for_path(*self._ends)
                 await target.send_all(data)
@@ -110,9 +110,9 @@
     def __init__(self, fleet: Fleet, member: Member):
         self.name = member.name
         self.scope = trio.CancelScope()
-        self.knows_at = trio.current_time() + fleet.start_seconds
+        self.configured_at = trio.current_time() + fleet.configuration_seconds
         self.members = FleetMembers(member, fleet.members)
-        self.table = make_table(make_server(LIMITED))
+        self.table = make_table(make_server(LIMITED_SERVER))
         self.allowances = Allowances(
             self.members,  # type: ignore[arg-type]
             DecisionLog(member.name),
@@ -127,8 +127,8 @@
 
     def find_declaration(self, fleet: Fleet) -> Declaration | None:
         """Return the configuration, once this life has read it."""
-        is_known = trio.current_time() >= self.knows_at
-        return fleet.find_declaration(self.name) if is_known else None
+        is_configured = trio.current_time() >= self.configured_at
+        return fleet.find_declaration(self.name) if is_configured else None
 
     async def run(self) -> None:
         with self.scope:
@@ -143,24 +143,26 @@
         self.rng = random.Random(seed)
         self.members: dict[str, Member] = {}
         self.instances: dict[str, FleetInstance] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.limit = LIMIT
         # From the start of a life until it knows the configuration.
-        self.start_seconds = 0.0
+        self.configuration_seconds = 0.0
         self.version = 1
-        self.unaware: dict[str, Allowance] = {}
+        self.stale_limits: dict[str, Allowance] = {}
         self._declarations: dict[tuple[bool, Allowance], Declaration] = {}
-        self.uses: list[Use] = []
-        self._healed = trio.Event()
+        self.results: list[RequestResult] = []
+        self._reconnected = trio.Event()
         for _ in range(count):
-            self.join()
+            self.add_instance()
 
-    def join(self) -> None:
+    def add_instance(self) -> None:
         number = len(self.members)
         name = f"i{number}"
         # A few machines have wide links.
         width = 200.0 if number % 11 < 1 else 10.0
-        self.members[name] = Member(name, "127.0.0.1:1", f"d{number % DOMAINS}", width)
+        self.members[name] = Member(
+            name, "127.0.0.1:1", f"d{number % FAILURE_DOMAINS}", width
+        )
         self.start(name)
 
     def start(self, name: str) -> None:
@@ -168,7 +170,7 @@
         instance = self.instances[name] = FleetInstance(self, self.members[name])
         self.nursery.start_soon(instance.run)
 
-    async def end(self, names: list[str], seconds: float) -> None:
+    async def restart(self, names: list[str], seconds: float) -> None:
         """End instances and start them anew."""
         for name in names:
             self.instances.pop(name).scope.cancel()
@@ -176,113 +178,117 @@
         for name in names:
             self.start(name)
 
-    async def cut_off(self, names: list[str], seconds: float) -> None:
+    async def partition(self, names: list[str], seconds: float) -> None:
         """Cut instances off from all others, and from each other."""
-        self.cut |= set(names)
+        self.partitioned |= set(names)
         await trio.sleep(seconds)
-        self.cut -= set(names)
-        self._healed.set()
-        self._healed = trio.Event()
+        self.partitioned -= set(names)
+        self._reconnected.set()
+        self._reconnected = trio.Event()
 
     def find_declaration(self, name: str) -> Declaration:
-        limit = self.unaware.get(name, self.limit)
-        key = name in self.unaware, limit
+        limit = self.stale_limits.get(name, self.limit)
+        key = name in self.stale_limits, limit
         if key not in self._declarations:
-            version = 1 if name in self.unaware else self.version
+            version = 1 if name in self.stale_limits else self.version
             teams = {KEY: Team("desk", allowance=limit)}
             declaration = make_declaration(version=version, teams_by_key=teams)
             self._declarations[key] = declaration
         return self._declarations[key]
 
     async def wait_for_path(self, sender: str, receiver: str) -> None:
-        while sender in self.cut or receiver in self.cut:
-            await self._healed.wait()
+        while sender in self.partitioned or receiver in self.partitioned:
+            await self._reconnected.wait()
 
     async def connect(self, sender: str, peer: Member) -> PeerStream:
-        await trio.sleep(LAG_SECONDS * 2)
+        await trio.sleep(LATENCY_SECONDS * 2)
         await self.wait_for_path(sender, peer.name)
         server = self.instances.get(peer.name)
         if server is None:
             raise OSError("refused")
         near, far = trio.testing.memory_stream_pair()
-        there = Wire(self, (sender, peer.name))
-        back = Wire(self, (peer.name, sender))
-        here = FleetStream(there, near)
-        remote = FleetStream(back, far)
-        self.nursery.start_soon(self._serve, server, there, back, here, remote)
-        return PeerStream(here, "", MAX_FRAME_BYTES)
+        request_wire = Wire(self, (sender, peer.name))
+        reply_wire = Wire(self, (peer.name, sender))
+        client_end = FleetStream(request_wire, near)
+        server_end = FleetStream(reply_wire, far)
+        self.nursery.start_soon(
+            self._serve, server, request_wire, reply_wire, client_end, server_end
+        )
+        return PeerStream(client_end, "", MAX_FRAME_BYTES)
 
     async def _serve(
         self,
         server: FleetInstance,
-        there: Wire,
-        back: Wire,
-        here: FleetStream,
-        remote: FleetStream,
+        request_wire: Wire,
+        reply_wire: Wire,
+        client_end: FleetStream,
+        server_end: FleetStream,
     ) -> None:
-        stream = PeerStream(remote, "", MAX_FRAME_BYTES)
+        stream = PeerStream(server_end, "", MAX_FRAME_BYTES)
 
         async def answer() -> None:
             first = await stream.receive()
             assert isinstance(first, AllowanceAsk)
             await server.allowances.serve(first, stream)
 
-        async def end_with_its_server() -> None:
+        async def fail_with_server() -> None:
             while not server.scope.cancel_called:
                 await trio.sleep(0.05)
             raise trio.BrokenResourceError
 
         # The other side learns of an end by its kernel's word.
-        near_end = here._source
+        near_end = client_end._source
         await await_end(
-            lambda: there.carry(near_end),  # type: ignore[arg-type]
-            lambda: back.carry(remote._source),  # type: ignore[arg-type]
+            lambda: request_wire.deliver(near_end),  # type: ignore[arg-type]
+            lambda: reply_wire.deliver(server_end._source),  # type: ignore[arg-type]
             answer,
-            end_with_its_server,
+            fail_with_server,
         )
-        await here.aclose()
-        await remote.aclose()
+        await client_end.aclose()
+        await server_end.aclose()
 
-    async def ask(self, name: str, cost: int, patience: float = 4.0) -> None:
+    async def send_request(self, name: str, cost: int, timeout: float = 4.0) -> None:
         """Have an instance ask for one request, and keep what became of it."""
         at = trio.current_time()
         instance = self.instances[name]
-        team = Team("desk", allowance=self.unaware.get(name, self.limit))
-        taken = await instance.allowances.take(team, cost, 1, at + patience)
+        team = Team("desk", allowance=self.stale_limits.get(name, self.limit))
+        taken = await instance.allowances.take(team, cost, 1, at + timeout)
         status = 200 if isinstance(taken, AllowanceGrant) else taken.status
         waited = trio.current_time() - at
-        self.uses.append(Use(trio.current_time(), cost, status, waited, name))
+        self.results.append(
+            RequestResult(trio.current_time(), cost, status, waited, name)
+        )
         assert not isinstance(taken, Refusal) or taken.status in (429, 503)
 
-    async def press(self, share: float, seconds: float, only: str = "") -> None:
+    async def send_requests(self, share: float, seconds: float, only: str = "") -> None:
         """Send a share of the limit, at instances drawn at random or at one."""
         until = trio.current_time() + seconds
-        gap = MEAN_SIZE / (LIMIT.rate * share)
+        interval = MEAN_SIZE / (LIMIT.rate * share)
         while trio.current_time() < until:
-            await trio.sleep(self.rng.expovariate(1 / gap))
-            sizes, shares = zip(*SIZES, strict=True)
+            await trio.sleep(self.rng.expovariate(1 / interval))
+            sizes, shares = zip(*REQUEST_SIZES, strict=True)
             cost = self.rng.choices(sizes, shares)[0]
             name = only or self.rng.choice(list(self.members))
             if name in self.instances:
-                self.nursery.start_soon(self.ask, name, cost)
+                self.nursery.start_soon(self.send_request, name, cost)
 
-    def measure_worst(self, since: float = -math.inf) -> float:
+    def measure_fullest_window(self, since: float = -math.inf) -> float:
         """Return the fullest window, as a share of the bound."""
         limit = self.limit.rate * BOUNDS.window + self.limit.burst
         bound = limit * (1 + BOUNDS.overage) + BOUNDS.slack
-        window: deque[Use] = deque()
-        worst = total = 0.0
-        served = [u for u in self.uses if u.status == 200 and u.at >= since]
-        for use in sorted(served):
-            window.append(use)
-            total += use.cost
-            while use.at - window[0].at > BOUNDS.window:
+        window: deque[RequestResult] = deque()
+        fullest = total = 0.0
+        served = [r for r in self.results if r.status == 200 and r.at >= since]
+        for result in sorted(served):
+            window.append(result)
+            total += result.cost
+            while result.at - window[0].at > BOUNDS.window:
                 total -= window.popleft().cost
-            worst = max(worst, total)
-        return worst / bound
+            fullest = max(fullest, total)
+        return fullest / bound
 
-    def measure_refused(self, since: float = -math.inf) -> float:
+    def measure_refused_share(self, since: float = -math.inf) -> float:
         """Return the share of tokens that were refused."""
-        asked = sum(u.cost for u in self.uses if u.at >= since)
-        refused = sum(u.cost for u in self.uses if u.status != 200 and u.at >= since)
+        asked = sum(r.cost for r in self.results if r.at >= since)
+        refused = sum(r.cost for r in self.results if r.status != 200 and r.at >= since)
         return refused / asked
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -14,7 +14,7 @@
 from ashpond.gateway.calls import AnswerMarks
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.news.items import ServerNotice
-from tests.allowance_fleet import LAG_SECONDS, LIMITED, Fleet, FleetInstance
+from tests.allowance_fleet import LATENCY_SECONDS, LIMITED_SERVER, Fleet, FleetInstance
 from tests.statements import (
     LIMIT_SETTLED_SECONDS,
     LIMIT_SHARE,
@@ -42,7 +42,7 @@
     def __init__(self, fleet: LimitFleet, instance: FleetInstance):
         self.told_at = float("inf")
         log = DecisionLog(instance.name)
-        self.state = instance.table.by_id[LIMITED]
+        self.state = instance.table.by_id[LIMITED_SERVER]
         self.permits = Permits(
             instance.allowances,
             lambda outcome: None,
@@ -95,7 +95,7 @@
     async def _bring_news(self, sender: str, name: str, notice: ServerNotice) -> None:
         life = self.lives[name]
         await trio.sleep(self.rng.uniform(*NEWS_LAG_SECONDS))
-        if self.cut.isdisjoint((sender, name)) and self.lives.get(name) is life:
+        if self.partitioned.isdisjoint((sender, name)) and self.lives.get(name) is life:
             life.apply_notice(notice)
 
     async def send(self, name: str) -> None:
@@ -121,7 +121,7 @@
 
     async def _exchange(self, name: str, life: LimitedInstance) -> None:
         sent_at = trio.current_time()
-        await trio.sleep(LAG_SECONDS)
+        await trio.sleep(LATENCY_SECONDS)
         if name not in self.instances or self.lives.get(name) is not life:
             return
         self.arrivals.append(Arrival(trio.current_time(), name, life.told_at))
@@ -153,7 +153,7 @@
         """
         bound = LIMIT_SHARE * rate * LIMIT_WINDOW_SECONDS + LIMIT_SLACK
         window: deque[float] = deque()
-        worst = 0
+        fullest = 0
         for arrival in self.arrivals:
             is_told = self.named_at <= arrival.told_at <= arrival.at - TOLD_SECONDS
             if arrival.at > until or not is_told:
@@ -162,8 +162,8 @@
             while arrival.at - window[0] > LIMIT_WINDOW_SECONDS:
                 window.popleft()
             if arrival.at >= self.named_at + LIMIT_SETTLED_SECONDS:
-                worst = max(worst, len(window))
-        return worst / bound
+                fullest = max(fullest, len(window))
+        return fullest / bound
 
     def count_arrivals(self, since: float, until: float) -> int:
         return sum(1 for arrival in self.arrivals if since <= arrival.at < until)
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -57,7 +57,7 @@
             await trio.sleep(4.0)
             coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
             name = coordinator if coordinator != "i1" else "i2"
-            nursery.start_soon(fleet.end, [name], 1.5)
+            nursery.start_soon(fleet.restart, [name], 1.5)
         await trio.sleep(6.0)
         nursery.cancel_scope.cancel()
     assert fleet.measure_fullest(3.0) <= 1.0
@@ -72,7 +72,7 @@
         fleet = LimitFleet(nursery, 12, seed)
         await name_and_press(fleet, 3.0, 30.0)
         await trio.sleep(4.0)
-        await fleet.cut_off(fleet.rng.sample(list(fleet.members), share), 8.0)
+        await fleet.partition(fleet.rng.sample(list(fleet.members), share), 8.0)
         await trio.sleep(10.0)
         nursery.cancel_scope.cancel()
     assert fleet.measure_fullest(3.0) <= 1.0
@@ -85,10 +85,12 @@
         fleet = LimitFleet(nursery, 20)
         await name_and_press(fleet, 3.0, 30.0)
         await trio.sleep(4.0)
-        nursery.start_soon(fleet.end, fleet.rng.sample(list(fleet.members), 11), 2.0)
+        nursery.start_soon(
+            fleet.restart, fleet.rng.sample(list(fleet.members), 11), 2.0
+        )
         for _ in range(10):
             await trio.sleep(0.5)
-            fleet.join()
+            fleet.add_instance()
         await trio.sleep(14.0)
         nursery.cancel_scope.cancel()
     assert fleet.measure_fullest(3.0) <= 1.0
