--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -25,7 +25,7 @@
 
 # How long answers take; one in ten takes the second time.
 ANSWER_SECONDS = (0.05, 2.5)
-NEWS_LAG_SECONDS = (0.002, 0.6)
+NOTICE_DELAY_SECONDS = (0.002, 0.6)
 
 
 class Arrival(NamedTuple):
@@ -33,14 +33,14 @@
 
     at: float
     instance: str
-    told_at: float
+    informed_at: float
 
 
 class LimitedInstance:
     """What one life of an instance knows of the server, and how it is told."""
 
     def __init__(self, fleet: LimitFleet, instance: FleetInstance):
-        self.told_at = float("inf")
+        self.informed_at = float("inf")
         log = DecisionLog(instance.name)
         self.state = instance.table.by_id[LIMITED_SERVER]
         self.permits = Permits(
@@ -49,17 +49,17 @@
             random.Random(instance.name),
             lambda: None,
         )
-        self.statements = ServerDirectives(
+        self.directives = ServerDirectives(
             instance.table,
             log,
             lambda kind: None,
-            lambda notice: fleet.tell(instance.name, notice),
+            lambda notice: fleet.broadcast(instance.name, notice),
             random.Random(instance.name),
             self.permits.on_limit,
         )
 
     def apply_notice(self, notice: ServerNotice) -> None:
-        self.statements.apply_notice(self.state, notice)
+        self.directives.apply_notice(self.state, notice)
 
 
 class LimitFleet(Fleet):
@@ -67,46 +67,51 @@
 
     def __init__(self, nursery: trio.Nursery, count: int, seed: int = 1):
         self.rate: float | None = None
-        self.named_at = float("inf")
+        self.limit_set_at = float("inf")
         self.arrivals: list[Arrival] = []
         self.waits: list[float] = []
-        self.lives: dict[str, LimitedInstance] = {}
+        self.incarnations: dict[str, LimitedInstance] = {}
         super().__init__(nursery, count, seed)
         # No team has a limit: the keepers are needed for the server alone.
         self.limit = None  # type: ignore[assignment]
 
     def start(self, name: str) -> None:
         super().start(name)
-        self.lives[name] = LimitedInstance(self, self.instances[name])
+        self.incarnations[name] = LimitedInstance(self, self.instances[name])
 
-    def name_limit(self, rate: float | None) -> None:
+    def set_server_limit(self, rate: float | None) -> None:
         """Let the server's answers name a limit from now on, or none."""
         if rate is not None:
-            self.named_at = trio.current_time()
-            for life in self.lives.values():
-                life.told_at = float("inf")
+            self.limit_set_at = trio.current_time()
+            for incarnation in self.incarnations.values():
+                incarnation.informed_at = float("inf")
         self.rate = rate
 
-    def tell(self, sender: str, notice: ServerNotice) -> None:
-        for name in self.lives:
+    def broadcast(self, sender: str, notice: ServerNotice) -> None:
+        for name in self.incarnations:
             if name != sender:
-                self.nursery.start_soon(self._bring_news, sender, name, notice)
+                self.nursery.start_soon(self._deliver_notice, sender, name, notice)
 
-    async def _bring_news(self, sender: str, name: str, notice: ServerNotice) -> None:
-        life = self.lives[name]
-        await trio.sleep(self.rng.uniform(*NEWS_LAG_SECONDS))
-        if self.partitioned.isdisjoint((sender, name)) and self.lives.get(name) is life:
-            life.apply_notice(notice)
-
-    async def send(self, name: str) -> None:
+    async def _deliver_notice(
+        self, sender: str, name: str, notice: ServerNotice
+    ) -> None:
+        incarnation = self.incarnations[name]
+        await trio.sleep(self.rng.uniform(*NOTICE_DELAY_SECONDS))
+        if (
+            self.partitioned.isdisjoint((sender, name))
+            and self.incarnations.get(name) is incarnation
+        ):
+            incarnation.apply_notice(notice)
+
+    async def send_to_server(self, name: str) -> None:
         """Have an instance send a request to the server, if it may."""
-        life = self.lives[name]
-        state = life.state
+        incarnation = self.incarnations[name]
+        state = incarnation.state
         now = trio.current_time()
         if not state.is_usable(now):
             return
         if state.is_limited:
-            is_granted = await life.permits.take(state, 1)
+            is_granted = await incarnation.permits.take(state, 1)
             self.waits.append(trio.current_time() - now)
             if not is_granted:
                 return
@@ -117,25 +122,27 @@
             return
         if trio.current_time() - granted_at > PERMIT_SECONDS:
             return
-        await self._exchange(name, life)
+        await self._exchange(name, incarnation)
 
-    async def _exchange(self, name: str, life: LimitedInstance) -> None:
+    async def _exchange(self, name: str, incarnation: LimitedInstance) -> None:
         sent_at = trio.current_time()
         await trio.sleep(LATENCY_SECONDS)
-        if name not in self.instances or self.lives.get(name) is not life:
+        if name not in self.instances or self.incarnations.get(name) is not incarnation:
             return
-        self.arrivals.append(Arrival(trio.current_time(), name, life.told_at))
+        self.arrivals.append(
+            Arrival(trio.current_time(), name, incarnation.informed_at)
+        )
         is_long = self.rng.random() < 0.1
         rate = self.rate
         await trio.sleep(ANSWER_SECONDS[is_long])
-        if self.lives.get(name) is not life:
+        if self.incarnations.get(name) is not incarnation:
             return
         if rate is not None and rate == self.rate:
-            life.told_at = min(life.told_at, trio.current_time())
+            incarnation.informed_at = min(incarnation.informed_at, trio.current_time())
         marks = AnswerMarks(None, False, None, None, rate)
-        life.statements.apply_answer(life.state, 200, marks, sent_at)
+        incarnation.directives.apply_answer(incarnation.state, 200, marks, sent_at)
 
-    async def press_server(
+    async def send_requests_to_server(
         self, per_second: float, seconds: float, only: str = ""
     ) -> None:
         """Send requests at instances drawn at random, or at one."""
@@ -144,9 +151,11 @@
             await trio.sleep(self.rng.expovariate(per_second))
             name = only or self.rng.choice(list(self.members))
             if name in self.instances:
-                self.nursery.start_soon(self.send, name)
+                self.nursery.start_soon(self.send_to_server, name)
 
-    def measure_fullest(self, rate: float, until: float = float("inf")) -> float:
+    def measure_fullest_server_window(
+        self, rate: float, until: float = float("inf")
+    ) -> float:
         """Return the fullest window of requests that count, as a share of the bound.
 
         Those do that are of instances that were told of the present limit.
@@ -155,13 +164,15 @@
         window: deque[float] = deque()
         fullest = 0
         for arrival in self.arrivals:
-            is_told = self.named_at <= arrival.told_at <= arrival.at - TOLD_SECONDS
-            if arrival.at > until or not is_told:
+            is_bound = (
+                self.limit_set_at <= arrival.informed_at <= arrival.at - TOLD_SECONDS
+            )
+            if arrival.at > until or not is_bound:
                 continue
             window.append(arrival.at)
             while arrival.at - window[0] > LIMIT_WINDOW_SECONDS:
                 window.popleft()
-            if arrival.at >= self.named_at + LIMIT_SETTLED_SECONDS:
+            if arrival.at >= self.limit_set_at + LIMIT_SETTLED_SECONDS:
                 fullest = max(fullest, len(window))
         return fullest / bound
 
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -14,17 +14,17 @@
 SETTLED_SECONDS = 4.0
 PER_SECOND = 200.0
 # From the first word until keepers have the fleet's time (seconds).
-FILLED_SECONDS = 4.0
+RAMP_UP_SECONDS = 4.0
 # What a limited server should get of what it takes, at the least.
-USED_SHARE = 0.8
+MIN_USED_SHARE = 0.8
 
 
-async def name_and_press(fleet: LimitFleet, rate: float, seconds: float) -> float:
+async def load_and_set_limit(fleet: LimitFleet, rate: float, seconds: float) -> float:
     """Press, and let the server name a limit after a while; return when it did."""
     await trio.sleep(SETTLED_SECONDS)
-    fleet.nursery.start_soon(fleet.press_server, PER_SECOND, seconds)
+    fleet.nursery.start_soon(fleet.send_requests_to_server, PER_SECOND, seconds)
     await trio.sleep(2.0)
-    fleet.name_limit(rate)
+    fleet.set_server_limit(rate)
     return trio.current_time()
 
 
@@ -37,22 +37,22 @@
 ) -> None:
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, instances)
-        named_at = await name_and_press(fleet, rate, seconds + 3)
+        limit_set_at = await load_and_set_limit(fleet, rate, seconds + 3)
         await trio.sleep(seconds)
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(rate) <= 1.0
-    begin, end = named_at + FILLED_SECONDS, named_at + seconds
-    assert fleet.count_arrivals(begin, end) >= USED_SHARE * rate * (end - begin) - 1
+    assert fleet.measure_fullest_server_window(rate) <= 1.0
+    begin, end = limit_set_at + RAMP_UP_SECONDS, limit_set_at + seconds
+    assert fleet.count_arrivals(begin, end) >= MIN_USED_SHARE * rate * (end - begin) - 1
     assert max(fleet.waits) < 0.2
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_the_limit_holds_while_keepers_end(
+async def test_the_limit_holds_while_coordinators_restart(
     seed: int, autojump_clock: object
 ) -> None:
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 8, seed)
-        await name_and_press(fleet, 3.0, 36.0)
+        await load_and_set_limit(fleet, 3.0, 36.0)
         for _ in range(6):
             await trio.sleep(4.0)
             coordinator = fleet.instances["i1"].allowances.describe()["keepers"][0]
@@ -60,30 +60,30 @@
             nursery.start_soon(fleet.restart, [name], 1.5)
         await trio.sleep(6.0)
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(3.0) <= 1.0
+    assert fleet.measure_fullest_server_window(3.0) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("share", [1, 6, 11])
-async def test_the_limit_holds_while_instances_are_cut_off(
+async def test_the_limit_holds_while_some_instances_are_partitioned(
     share: int, seed: int, autojump_clock: object
 ) -> None:
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 12, seed)
-        await name_and_press(fleet, 3.0, 30.0)
+        await load_and_set_limit(fleet, 3.0, 30.0)
         await trio.sleep(4.0)
         await fleet.partition(fleet.rng.sample(list(fleet.members), share), 8.0)
         await trio.sleep(10.0)
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(3.0) <= 1.0
+    assert fleet.measure_fullest_server_window(3.0) <= 1.0
 
 
-async def test_the_limit_holds_while_a_herd_ends_and_others_join(
+async def test_the_limit_holds_while_half_of_the_instances_restart_and_others_join(
     autojump_clock: object,
 ) -> None:
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 20)
-        await name_and_press(fleet, 3.0, 30.0)
+        await load_and_set_limit(fleet, 3.0, 30.0)
         await trio.sleep(4.0)
         nursery.start_soon(
             fleet.restart, fleet.rng.sample(list(fleet.members), 11), 2.0
@@ -93,103 +93,111 @@
             fleet.add_instance()
         await trio.sleep(14.0)
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(3.0) <= 1.0
+    assert fleet.measure_fullest_server_window(3.0) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 async def test_a_lowered_limit_holds(seed: int, autojump_clock: object) -> None:
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 12, seed)
-        await name_and_press(fleet, 12.0, 30.0)
+        await load_and_set_limit(fleet, 12.0, 30.0)
         await trio.sleep(8.0)
-        fleet.name_limit(1.1)
+        fleet.set_server_limit(1.1)
         await trio.sleep(16.0)
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(1.1) <= 1.0
+    assert fleet.measure_fullest_server_window(1.1) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("rate", [0.0, 1.1])
-async def test_all_instances_notice_that_a_limit_has_ended(
+async def test_all_instances_notice_that_a_limit_was_lifted(
     rate: float, seed: int, autojump_clock: object
 ) -> None:
     """Also of a server that took nothing, and where answers and news cross."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 20, seed)
-        await name_and_press(fleet, rate, 120.0)
+        await load_and_set_limit(fleet, rate, 120.0)
         await trio.sleep(20.0)
-        assert all(life.state.is_limited for life in fleet.lives.values())
-        fleet.name_limit(None)
+        assert all(
+            incarnation.state.is_limited for incarnation in fleet.incarnations.values()
+        )
+        fleet.set_server_limit(None)
         lifted_at = trio.current_time()
         with trio.move_on_after(60.0):
-            while any(life.state.is_limited for life in fleet.lives.values()):
+            while any(
+                incarnation.state.is_limited
+                for incarnation in fleet.incarnations.values()
+            ):
                 await trio.sleep(0.1)
         noticed_at = trio.current_time()
         await trio.sleep(5.0)
-        assert not any(life.state.is_limited for life in fleet.lives.values())
+        assert not any(
+            incarnation.state.is_limited for incarnation in fleet.incarnations.values()
+        )
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(rate, lifted_at) <= 1.0
+    assert fleet.measure_fullest_server_window(rate, lifted_at) <= 1.0
     assert noticed_at - lifted_at < 30.0
     assert fleet.count_arrivals(noticed_at + 1, noticed_at + 5) > 4 * PER_SECOND * 0.7
 
 
-async def test_a_server_that_takes_nothing_is_tried_now_and_then(
+async def test_a_server_with_limit_0_is_probed(
     autojump_clock: object,
 ) -> None:
     """Only an answer tells that its limit has ended."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 6)
-        named_at = await name_and_press(fleet, 0.0, 65.0)
+        limit_set_at = await load_and_set_limit(fleet, 0.0, 65.0)
         await trio.sleep(62.0)
         nursery.cancel_scope.cancel()
-    assert fleet.measure_fullest(0.0) <= 1.0
-    assert 3 <= fleet.count_arrivals(named_at + 4, named_at + 62) <= 12
+    assert fleet.measure_fullest_server_window(0.0) <= 1.0
+    assert 3 <= fleet.count_arrivals(limit_set_at + 4, limit_set_at + 62) <= 12
 
 
-async def test_instances_without_requests_go_on_earning_for_a_limited_server(
+async def test_idle_instances_keep_accruing_time_for_a_limited_server(
     autojump_clock: object,
 ) -> None:
     """Their time is a part of what the server takes, whoever uses it."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 6)
-        named_at = await name_and_press(fleet, 3.0, 8.0)
+        limit_set_at = await load_and_set_limit(fleet, 3.0, 8.0)
         await trio.sleep(8.0)
-        fleet.nursery.start_soon(fleet.press_server, 20.0, 60.0, "i0")
+        fleet.nursery.start_soon(fleet.send_requests_to_server, 20.0, 60.0, "i0")
         await trio.sleep(60.0)
         nursery.cancel_scope.cancel()
-    assert fleet.count_arrivals(named_at + 50, named_at + 66) >= 0.8 * 3.0 * 16
-    assert fleet.measure_fullest(3.0) <= 1.0
+    assert fleet.count_arrivals(limit_set_at + 50, limit_set_at + 66) >= 0.8 * 3.0 * 16
+    assert fleet.measure_fullest_server_window(3.0) <= 1.0
 
 
-async def test_a_limit_that_differs_in_each_answer_is_used(
+async def test_a_limit_that_changes_with_each_answer_is_used(
     autojump_clock: object,
 ) -> None:
     """A pause at each change would leave the server idle."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 6)
-        named_at = await name_and_press(fleet, 4.0, 30.0)
+        limit_set_at = await load_and_set_limit(fleet, 4.0, 30.0)
         for number in range(280):
             await trio.sleep(0.1)
             fleet.rate = 4.0 + number % 5 * 0.1
         nursery.cancel_scope.cancel()
-    begin, end = named_at + FILLED_SECONDS, named_at + 28.0
-    assert fleet.count_arrivals(begin, end) >= USED_SHARE * 4.0 * (end - begin)
+    begin, end = limit_set_at + RAMP_UP_SECONDS, limit_set_at + 28.0
+    assert fleet.count_arrivals(begin, end) >= MIN_USED_SHARE * 4.0 * (end - begin)
 
 
 async def test_a_raised_limit_is_used_at_once(autojump_clock: object) -> None:
     """Instances that pause after refusals would notice it seconds later."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 40)
-        await name_and_press(fleet, 0.4, 40.0)
+        await load_and_set_limit(fleet, 0.4, 40.0)
         await trio.sleep(20.0)
-        fleet.name_limit(20.0)
+        fleet.set_server_limit(20.0)
         with trio.fail_after(10.0):
             while any(
-                life.state.rate_limit.rate != 20.0 for life in fleet.lives.values()
+                incarnation.state.rate_limit.rate != 20.0
+                for incarnation in fleet.incarnations.values()
             ):
                 await trio.sleep(0.1)
         raised_at = trio.current_time()
         await trio.sleep(6.0)
         nursery.cancel_scope.cancel()
     used = fleet.count_arrivals(raised_at + 1.0, raised_at + 6.0)
-    assert used >= USED_SHARE * 20.0 * 5.0
+    assert used >= MIN_USED_SHARE * 20.0 * 5.0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -23,12 +23,14 @@
 from tests.builders import make_settings
 
 SECRET = "s" * 16
-LIMIT = 4096
+MAX_FRAME_BYTES = 4096
 
 
 def make_pair(one: str, other: str) -> tuple[PeerStream, PeerStream]:
     left, right = trio.testing.memory_stream_pair()
-    return PeerStream(left, one, LIMIT), PeerStream(right, other, LIMIT)
+    return PeerStream(left, one, MAX_FRAME_BYTES), PeerStream(
+        right, other, MAX_FRAME_BYTES
+    )
 
 
 async def shake_hands(client: PeerStream, server: PeerStream) -> None:
@@ -52,7 +54,7 @@
     assert caught.group_contains(FrameError, match="does not know the shared secret")
 
 
-async def test_a_peer_that_says_nothing_is_refused(autojump_clock):
+async def test_a_peer_that_sends_nothing_is_refused(autojump_clock):
     _, server = make_pair(SECRET, SECRET)
     with pytest.raises(FrameError, match="in time"):
         await server.authenticate(is_server=True)
@@ -62,7 +64,7 @@
     client, server = make_pair(SECRET, SECRET)
     await shake_hands(client, server)
     with pytest.raises(FrameError, match="too large"):
-        await client.send(AskAttempt("x" * LIMIT))
+        await client.send(AskAttempt("x" * MAX_FRAME_BYTES))
     await client._stream.send_all(b"\xff\xff\xff\xff")
     with pytest.raises(FrameError, match="too large"):
         await server.receive()
@@ -71,7 +73,7 @@
 @given(junk=st.binary(max_size=300))
 async def test_junk_never_passes_the_handshake(junk):
     left, right = trio.testing.memory_stream_pair()
-    server = PeerStream(right, SECRET, LIMIT)
+    server = PeerStream(right, SECRET, MAX_FRAME_BYTES)
     await left.send_all(junk)
     await left.aclose()
     with pytest.raises((FrameError, trio.BrokenResourceError)):
@@ -83,10 +85,12 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=12,
 )
-almost = st.tuples(st.sampled_from([*KINDS, "x"]), st.lists(values, max_size=4))
+malformed_messages = st.tuples(
+    st.sampled_from([*KINDS, "x"]), st.lists(values, max_size=4)
+)
 
 
-@given(value=st.one_of(values, almost.map(list)))
+@given(value=st.one_of(values, malformed_messages.map(list)))
 def test_any_value_is_a_message_or_a_frame_error(value):
     try:
         message = parse_message(unpack_value(msgpack.packb(value)))
@@ -96,12 +100,12 @@
 
 
 @given(item=values)
-def test_facts_of_the_wrong_form_are_passed_over(item):
+def test_malformed_facts_are_ignored(item):
     fact = parse_fact(item)
     assert fact is None or fact.origin is not None
 
 
-class Told:
+class AnsweringInstance:
     """An instance that answers peers with its facts."""
 
     def __init__(self) -> None:
@@ -121,60 +125,60 @@
     async def connect(self, nursery: trio.Nursery) -> PeerStream:
         left, right = trio.testing.memory_stream_pair()
         nursery.start_soon(self.server._serve, right)
-        client = PeerStream(left, SECRET, LIMIT)
+        client = PeerStream(left, SECRET, MAX_FRAME_BYTES)
         await client.authenticate(is_server=False)
         return client
 
 
-async def test_facts_whose_connection_ended_are_told_again() -> None:
+async def test_facts_are_resent_after_a_lost_connection() -> None:
     """A peer gives up a connection while the answer to it is on its way.
 
     Evidence: looked for after requests were lost because one side closed what the
     other had taken up; the answer's facts counted as told and never came again.
     """
-    told = Told()
+    instance = AnsweringInstance()
     async with trio.open_nursery() as nursery:
-        client = await told.connect(nursery)
+        client = await instance.connect(nursery)
         await client.send(Facts("peer", []))
         await trio.testing.wait_all_tasks_blocked()
         await client.aclose()
         await trio.testing.wait_all_tasks_blocked()
-        again = await told.connect(nursery)
+        again = await instance.connect(nursery)
         await again.send(Facts("peer", []))
         answer = await again.receive()
         nursery.cancel_scope.cancel()
     assert isinstance(answer, Facts)
-    assert [fact[0] for fact in answer.facts] == [told.members.address]
+    assert [fact[0] for fact in answer.facts] == [instance.members.address]
 
 
-async def test_facts_on_a_link_that_is_given_up_are_told_again() -> None:
+async def test_facts_are_resent_after_a_dropped_link() -> None:
     """A link that is wanted no more is cut while its facts are on their way.
 
     Evidence: looked for with the test above; facts in flight counted as told when
     the same peer was linked to again.
     """
-    members = Told().members
-    link = trio.CancelScope()
+    members = AnsweringInstance().members
+    link_scope = trio.CancelScope()
 
     async def serve(stream: trio.SocketStream) -> None:
-        peer = PeerStream(stream, SECRET, LIMIT)
+        peer = PeerStream(stream, SECRET, MAX_FRAME_BYTES)
         await peer.authenticate(is_server=True)
         assert isinstance(await peer.receive(), Facts)
-        link.cancel()
+        link_scope.cancel()
 
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
         address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
-        await members._run_link(address, link)
+        await members._run_link(address, link_scope)
         nursery.cancel_scope.cancel()
-    told = members.collect_facts(address).facts
-    assert [fact[0] for fact in told] == [members.address]
+    resent = members.collect_facts(address).facts
+    assert [fact[0] for fact in resent] == [members.address]
 
 
-async def test_facts_are_told_once_on_a_connection() -> None:
-    told = Told()
+async def test_facts_are_sent_once_per_connection() -> None:
+    instance = AnsweringInstance()
     async with trio.open_nursery() as nursery:
-        client = await told.connect(nursery)
+        client = await instance.connect(nursery)
         for count in (1, 0):
             await client.send(Facts("peer", []))
             answer = await client.receive()
