--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -12,7 +12,7 @@
 
 from ashpond.clients.retryafter import REJECTIONS
 from ashpond.decisions.ratelimits import (
-    MAX_UPDATE_AGE_SECONDS,
+    MAX_NOTICE_AGE_SECONDS,
     update_limit,
     update_limit_from_peer,
 )
@@ -125,7 +125,7 @@
         the first notice: it cannot tell which of the two is older.
         """
         raised_at = state.limit_raised_at
-        if raised_at is not None and sent_at >= raised_at + 2 * MAX_UPDATE_AGE_SECONDS:
+        if raised_at is not None and sent_at >= raised_at + 2 * MAX_NOTICE_AGE_SECONDS:
             state.limit_raised_at = None
             self._send_limit(state, now - sent_at)
 
--- a/ashpond/decisions/caches.py
+++ b/ashpond/decisions/caches.py
@@ -90,8 +90,10 @@
     def match(self, blocks: Sequence[int]) -> int:
         """Return how many leading blocks of a prompt are assumed to be cached."""
         if self.sample > 1:
-            held = [n for n, block in enumerate(blocks, 1) if block in self._blocks]
-            return max(held, default=0)
+            cached_counts = [
+                n for n, block in enumerate(blocks, 1) if block in self._blocks
+            ]
+            return max(cached_counts, default=0)
         count = 0
         for block in blocks:
             if block not in self._blocks:
--- a/ashpond/decisions/eventstream.py
+++ b/ashpond/decisions/eventstream.py
@@ -27,9 +27,9 @@
             else 0
             for separator in SEPARATORS
         )
-        whole, self._buffer = self._buffer[:end], self._buffer[end:]
-        self._note_ids(whole)
-        return whole
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
+        self._note_ids(complete)
+        return complete
 
     def take_remainder(self) -> bytes:
         """Return the data after the last complete event, once the stream has ended."""
--- a/ashpond/decisions/placement.py
+++ b/ashpond/decisions/placement.py
@@ -164,8 +164,8 @@
         )
         scored.append((score, candidate, presumed, int(cached)))
     least = min(score for score, *_ in scored)
-    near = [entry for entry in scored if entry[0] <= least + TIE_SECONDS]
-    score, winner, _, cached_blocks = _break_tie(near, rng)
+    tied = [entry for entry in scored if entry[0] <= least + TIE_SECONDS]
+    score, winner, _, cached_blocks = _break_tie(tied, rng)
     return ChosenEngine(winner.name, score, cached_blocks)
 
 
@@ -205,15 +205,15 @@
 
 
 def _break_tie(
-    near: list[tuple[float, Candidate, int, int]], rng: random.Random
+    tied: list[tuple[float, Candidate, int, int]], rng: random.Random
 ) -> tuple[float, Candidate, int, int]:
-    deepest = max(presumed for _, _, presumed, _ in near)
+    deepest = max(presumed for _, _, presumed, _ in tied)
     if deepest:
-        return next(entry for entry in near if entry[2] == deepest)
-    if len(near) == 1:
-        return near[0]
+        return next(entry for entry in tied if entry[2] == deepest)
+    if len(tied) == 1:
+        return tied[0]
     # Instances that see the same idle engine at once must not all choose it.
-    first, second = rng.sample(near, 2)
+    first, second = rng.sample(tied, 2)
     return first if first[1].own_requests <= second[1].own_requests else second
 
 
--- a/ashpond/decisions/ratelimits.py
+++ b/ashpond/decisions/ratelimits.py
@@ -32,7 +32,7 @@
 # An unused permit expires after this (seconds).
 PERMIT_SECONDS = REFUND_SECONDS
 # The greatest age that a peer's notice may have when it arrives (seconds).
-MAX_UPDATE_AGE_SECONDS = 1.0
+MAX_NOTICE_AGE_SECONDS = 1.0
 # After a refusal, the next permit is requested when one is expected to be available.
 # Each further refusal in a row makes the pause half as long again, within these limits
 # (seconds).
@@ -90,7 +90,7 @@
     sent_at = now - age
     if known.rate is None and sent_at < known.seen_at:
         return known
-    return update_limit(known, rate, sent_at - MAX_UPDATE_AGE_SECONDS, now)
+    return update_limit(known, rate, sent_at - MAX_NOTICE_AGE_SECONDS, now)
 
 
 def make_allowance(rate: float) -> Allowance:
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -325,9 +325,9 @@
     if not scored:
         return None
     limit = scored[0].seconds + TIE_SECONDS
-    near = [candidate for seconds, candidate in scored if seconds <= limit]
-    best_rank = min(candidate.home_rank for candidate in near)
-    return rng.choice([c for c in near if c.home_rank == best_rank])
+    tied = [candidate for seconds, candidate in scored if seconds <= limit]
+    best_rank = min(candidate.home_rank for candidate in tied)
+    return rng.choice([c for c in tied if c.home_rank == best_rank])
 
 
 def pick_least_loaded(scored: Sequence[ScoredCandidate]) -> Candidate | None:
--- a/tests/test_eventstream.py
+++ b/tests/test_eventstream.py
@@ -19,9 +19,9 @@
     remaining = stream
     for size in sizes:
         piece, remaining = remaining[:size], remaining[size:]
-        whole = splitter.feed(piece)
-        assert whole == b"" or whole.endswith(b"\n\n")
-        returned += whole
+        complete = splitter.feed(piece)
+        assert complete == b"" or complete.endswith(b"\n\n")
+        returned += complete
     returned += splitter.feed(remaining)
     assert returned + splitter.take_remainder() == stream
     assert splitter.last_id == (str(count - 1) if count else None)
--- a/tests/test_gateway_selection.py
+++ b/tests/test_gateway_selection.py
@@ -71,18 +71,18 @@
     prompt = make_prompt()
     old = make_candidate("a", has_newest=False)
     assert choose(old, make_candidate("b", load=Load(5)), prompt=prompt) == "b"
-    grey = make_candidate("a", failure_share=0.4, slots=6)
-    assert choose(grey, make_candidate("b", slots=6, load=Load(3))) == "b"
+    failing = make_candidate("a", failure_share=0.4, slots=6)
+    assert choose(failing, make_candidate("b", slots=6, load=Load(3))) == "b"
 
 
 def test_a_prompt_leaves_its_failure_domain_for_a_clearly_sooner_answer() -> None:
     """0.04 s is the prefill of 2,000 prompt tokens; a plain request leaves for less."""
     prompt = make_prompt()
     other = make_candidate("b", is_local=False)
-    near = make_candidate("a", load=Load(1, 1_500))
-    far = make_candidate("a", load=Load(1, 2_200))
-    assert choose(near, other, prompt=prompt) == "a"
-    assert choose(far, other, prompt=prompt) == "b"
+    lightly_loaded = make_candidate("a", load=Load(1, 1_500))
+    heavily_loaded = make_candidate("a", load=Load(1, 2_200))
+    assert choose(lightly_loaded, other, prompt=prompt) == "a"
+    assert choose(heavily_loaded, other, prompt=prompt) == "b"
     busy = make_candidate("a", slots=6, load=Load(1))
     assert choose(busy, make_candidate("b", slots=6, is_local=False)) == "b"
 
@@ -221,11 +221,11 @@
 async def test_a_reservation_names_a_fetch_source_with_the_same_salt() -> None:
     prompt = make_prompt()
     table = make_table(make_server("a", address="127.0.0.1:1"), make_server("b"))
-    holdings = CacheIndex()
+    cache_index = CacheIndex()
     now = trio.current_time()
-    holdings.note_read("a", make_salt("shared", MODEL, 1), prompt, now)
+    cache_index.note_read("a", make_salt("shared", MODEL, 1), prompt, now)
     table.by_id["a"].load = Load(9, 30_000, 9000)
-    place = await make_places(table, holdings).take(make_demand(prompt), 1, now)
+    place = await make_places(table, cache_index).take(make_demand(prompt), 1, now)
     assert (place.state.info.id, place.fetch_from) == ("b", "127.0.0.1:1")
     assert place.salt == make_salt("shared", MODEL, 1)
 
@@ -255,11 +255,11 @@
     prompt = make_prompt()
     new = make_server("b", weights={MODEL: 2})
     table = make_table(make_server("a"), new)
-    holdings = CacheIndex()
+    cache_index = CacheIndex()
     now = trio.current_time()
-    holdings.note_read("a", make_salt("shared", MODEL, 1), prompt, now)
+    cache_index.note_read("a", make_salt("shared", MODEL, 1), prompt, now)
     table.by_id["a"].exclude_for(5.0, now)
-    place = await make_places(table, holdings).take(make_demand(prompt), 1, now)
+    place = await make_places(table, cache_index).take(make_demand(prompt), 1, now)
     assert (place.state.info.id, place.fetch_from) == ("b", None)
     assert place.weights_version == 2
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -53,12 +53,12 @@
 
 def test_under_load_a_cached_prefix_is_worth_a_longer_wait():
     idle = [make_candidate(name) for name in NAMES]
-    held = make_candidate(
+    cached = make_candidate(
         "engine-3", cached_blocks=40, report=make_report(waiting_tokens=12_000)
     )
-    assert place([*idle[:3], held]).name != "engine-3"
+    assert place([*idle[:3], cached]).name != "engine-3"
     loaded = [c._replace(report=make_report(waiting=4)) for c in idle[:3]]
-    assert place([*loaded, held]).name == "engine-3"
+    assert place([*loaded, cached]).name == "engine-3"
 
 
 def test_instances_that_see_the_same_idle_engines_spread_over_them():
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -81,11 +81,11 @@
 
 
 def test_three_crashes_quarantine_a_request() -> None:
-    standings = [
+    states = [
         make_records(*make_crashes(count)).classify(FINGERPRINT, NOW)
         for count in range(4)
     ]
-    assert standings == [
+    assert states == [
         QuarantineState.FREE,
         QuarantineState.SUSPECTED,
         QuarantineState.SUSPECTED,
@@ -378,11 +378,11 @@
             await trio.sleep(0.6)
             quarantine.note_answered(FINGERPRINT)
 
-    def learn(table: ServerTable, knowledge: Knowledge) -> None:
+    def start_reports(table: ServerTable, knowledge: Knowledge) -> None:
         nursery.start_soon(suspect)
 
     bench = await run_call(
-        half, rest, route=RESUMABLE, quarantine=quarantine, prepare=learn
+        half, rest, route=RESUMABLE, quarantine=quarantine, prepare=start_reports
     )
     assert bench.reply.is_whole
     assert bench.reply.body.getvalue().count(b"data") == 2
@@ -618,12 +618,12 @@
     quarantine = make_quarantine()
     half = Answer(200, (b"id: 1\ndata: x\n\n",), error=BROKEN)
 
-    def learn(table: ServerTable, knowledge: Knowledge) -> None:
-        async def tell() -> None:
+    def start_reports(table: ServerTable, knowledge: Knowledge) -> None:
+        async def report() -> None:
             await trio.sleep(0.05)
             quarantine.merge_reported(make_settled_crashes(), "peer")
 
-        nursery.start_soon(tell)
+        nursery.start_soon(report)
 
     async with trio.open_nursery() as nursery:
         bench = await run_call(
@@ -631,7 +631,7 @@
             Answer(),
             route=RESUMABLE,
             quarantine=quarantine,
-            prepare=learn,
+            prepare=start_reports,
         )
     assert bench.reply.is_aborted
     assert len(bench.pool.requests) == 1
@@ -660,12 +660,12 @@
     crashes: list[list[object]],
 ) -> None:
     complete = list(make_end())
-    for told in (crashes, [complete, *crashes], [complete[:-1]], [[*complete, 1]]):
+    for message in (crashes, [complete, *crashes], [complete[:-1]], [[*complete, 1]]):
         try:
-            _, found = decode_ends(ServerEndNews("i", "own", told))
+            _, found = decode_ends(ServerEndNews("i", "own", message))
         except FrameError:
             continue
-        assert [list(crash) for crash in found] == told
+        assert [list(crash) for crash in found] == message
 
 
 @given(st.binary(max_size=40))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -149,9 +149,9 @@
         for name in order.sample(names, size):
             for link in choose_links(name, names, 3):
                 for one, other in ((name, link), (link, name)):
-                    news = tables[one].collect_updates(other)
-                    tables[other].mark_known(one, news)
-                    for fact in news:
+                    updates = tables[one].collect_updates(other)
+                    tables[other].mark_known(one, updates)
+                    for fact in updates:
                         tables[other].put(fact, 0.0)
     assert all(tables[name].get(names[0]) is not None for name in names)
 
