--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -185,8 +185,8 @@
     gone = table.expire(1000.0, keep=[])
     assert len(gone) == 50
     assert table.list_others(0.0) == []
-    assert not any(table._told.values())
-    assert not table._told
+    assert not any(table._sent.values())
+    assert not table._sent
 
 
 def test_three_days_of_counts_stay_few_and_complete():
