--- a/ashpond/controllers/admission.py
+++ b/ashpond/controllers/admission.py
@@ -164,7 +164,7 @@
                 name, service.concurrency_per_server
             )
             queue.capacity = compute_capacity(places, instances)
-            queue.server_share = max(1, len(places)) / instances
+            queue.servers_per_instance = max(1, len(places)) / instances
             queue.expected_wait = self._engines.estimate_wait(name)
             self._start_ready(queue)
             self._metrics.running.set({"service": name}, queue.running)
--- a/ashpond/decisions/admission.py
+++ b/ashpond/decisions/admission.py
@@ -123,7 +123,7 @@
         self.run_seconds = DEFAULT_RUN_SECONDS
         self.release_interval = 0.0
         self.expected_wait = 0.0
-        self.server_share = 1.0
+        self.servers_per_instance = 1.0
         self._last_release = 0.0
         self.max_waiting = max_waiting
         self._classes: dict[str, _ClassQueue] = {}
@@ -204,7 +204,7 @@
         for entry in self._ordered:
             entry.served *= SHARE_DECAY
         own.served += ticket.cost
-        self.expected_wait += ticket.cost / self.server_share
+        self.expected_wait += ticket.cost / self.servers_per_instance
 
     def _may_start(self, own: _ClassQueue) -> bool:
         if own is self._ordered[0]:
--- a/ashpond/decisions/fleetlinks.py
+++ b/ashpond/decisions/fleetlinks.py
@@ -108,22 +108,22 @@
     groups: dict[str, list[str]] = {}
     for domain, found in domains.items():
         count = max(1, round(len(found) / size))
-        wide = _rank_wide_links(domain, found)
+        high = _rank_high_bandwidth(domain, found)
         for member in found:
-            if member.name in wide:
-                group = f"{domain}/{wide.index(member.name) % count}"
+            if member.name in high:
+                group = f"{domain}/{high.index(member.name) % count}"
             else:
                 group = _find_group(domain, member.name, count)
             groups.setdefault(group, []).append(member.name)
     return groups
 
 
-def _rank_wide_links(domain: str, members: list[Member]) -> list[str]:
+def _rank_high_bandwidth(domain: str, members: list[Member]) -> list[str]:
     """Return those with wider links than most of a failure domain, in a fixed order."""
-    widths = sorted(member.link_mbps for member in members)
-    usual = widths[len(widths) // 2]
-    wide = [member.name for member in members if member.link_mbps > usual]
-    return rank_by_rendezvous(xxhash.xxh3_64_intdigest(domain.encode()), wide)
+    bandwidths = sorted(member.link_mbps for member in members)
+    median = bandwidths[len(bandwidths) // 2]
+    high = [member.name for member in members if member.link_mbps > median]
+    return rank_by_rendezvous(xxhash.xxh3_64_intdigest(domain.encode()), high)
 
 
 def _find_group(domain: str, name: str, count: int) -> str:
