--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -100,7 +100,7 @@
         assert self.queue.waiting == len(self.waiting)
 
     @invariant()
-    def urgent_work_never_waits_beside_a_free_place(self) -> None:
+    def urgent_never_waits_beside_a_free_slot(self) -> None:
         if any(t.priority == "urgent" for t in self.waiting):
             assert self.running >= self.queue.capacity or self.start_pending()
 
@@ -141,7 +141,7 @@
     assert 8 <= low <= 14
 
 
-def test_teams_share_by_weight_whatever_they_ask_for():
+def test_teams_share_by_weight_at_any_demand():
     queue = AdmissionQueue(PRIORITIES, max_waiting=1000)
     fill(queue, 1)
     for number in range(200):
@@ -152,7 +152,7 @@
     assert sum(ticket.team == "quiet" for ticket in started) == 20
 
 
-def test_what_cannot_start_in_time_is_refused_at_once():
+def test_a_request_that_cannot_start_in_time_is_refused_at_once():
     queue = AdmissionQueue(PRIORITIES, max_waiting=1000)
     fill(queue, 1)
     for number in range(10):
@@ -161,7 +161,7 @@
     assert isinstance(outcome, Refusal)
 
 
-def test_under_pressure_work_waits_here_and_the_urgent_goes_first():
+def test_requests_wait_while_servers_are_busy_and_urgent_ones_start_first():
     priorities = PRIORITIES | {"low": PriorityClass(1, 0.0)}
     queue = AdmissionQueue(priorities, max_waiting=10)
     queue.capacity = 5
@@ -174,7 +174,7 @@
     assert [ticket.number for ticket in queue.start_ready()] == [3]
 
 
-def test_a_quiet_time_does_not_count_as_a_slow_pace():
+def test_idle_time_does_not_count_in_the_release_interval():
     """Failed first: the gap between two bursts was taken for one slow release."""
     queue = AdmissionQueue(PRIORITIES, max_waiting=1000)
     fill(queue, 1)
@@ -184,7 +184,7 @@
     assert queue.release_interval < 0.1
 
 
-def test_refused_callers_are_told_to_come_back_one_after_another():
+def test_refused_clients_get_distinct_retry_times():
     queue = AdmissionQueue(PRIORITIES, max_waiting=1)
     fill(queue, 1)
     queue.offer(make_ticket(1), 0.0)
--- a/tests/test_allowance_machine.py
+++ b/tests/test_allowance_machine.py
@@ -35,7 +35,7 @@
 numbers = st.integers(0, INSTANCES - 1)
 
 
-class Handed(NamedTuple):
+class Message(NamedTuple):
     """A message on its way to a keeper: time that was earned, and a request."""
 
     sender: str
@@ -52,10 +52,10 @@
         self.joined = 0
         self.allowance = Allowance(RATE, RATE, AllowanceUnit.TOKENS)
         self.lowered_at = float("-inf")
-        self.earnings = {name: AccruedTime(self.now) for name in self.names}
+        self.accrued_times = {name: AccruedTime(self.now) for name in self.names}
         self.ledgers = [Ledger() for _ in range(INSTANCES)]
-        self.counts = [self.make_instance_count() for _ in range(INSTANCES)]
-        self.flying: list[Handed] = []
+        self.instance_counts = [self.make_instance_count() for _ in range(INSTANCES)]
+        self.in_transit: list[Message] = []
         self.used: list[tuple[float, int]] = []
 
     def make_instance_count(self) -> InstanceCount:
@@ -72,21 +72,27 @@
         self.now += seconds
 
     @rule(coordinator=numbers, seconds=st.sampled_from([0.5, 2.0, 8.0]))
-    def run_calmly(self, coordinator: int, seconds: float) -> None:
+    def run_without_faults(self, coordinator: int, seconds: float) -> None:
         """All that are known hand over their time as it is earned."""
         for _ in range(round(seconds / 0.25)):
             self.now += 0.25
             for name in self.names:
-                self.hand_over(name, coordinator, self.earnings[name].take(self.now))
+                self.deliver_time(
+                    name, coordinator, self.accrued_times[name].take(self.now)
+                )
 
     @rule(first=numbers, other=numbers, split=numbers, steps=st.integers(1, 32))
-    def press(self, first: int, other: int, split: int, steps: int) -> None:
+    def use_all_with_two_coordinators(
+        self, first: int, other: int, split: int, steps: int
+    ) -> None:
         """Use all there is, while some instances take another one for the keeper."""
         for _ in range(steps):
             self.now += 0.25
             for number, name in enumerate(self.names):
                 coordinator = other if number < split else first
-                self.hand_over(name, coordinator, self.earnings[name].take(self.now))
+                self.deliver_time(
+                    name, coordinator, self.accrued_times[name].take(self.now)
+                )
             self.use_up(first)
             self.use_up(other)
 
@@ -100,21 +106,21 @@
     @rule(number=numbers, coordinator=numbers, cost=st.sampled_from([0, 9000]))
     def send(self, number: int, coordinator: int, cost: int) -> None:
         name = self.names[number]
-        span = self.earnings[name].take(self.now)
-        self.flying.append(Handed(name, coordinator, span, cost))
+        span = self.accrued_times[name].take(self.now)
+        self.in_transit.append(Message(name, coordinator, span, cost))
 
     @rule(position=st.integers(0, 50), arrives=st.booleans())
     def deliver(self, position: int, arrives: bool) -> None:
-        if not self.flying:
+        if not self.in_transit:
             return
-        handed = self.flying.pop(position % len(self.flying))
+        message = self.in_transit.pop(position % len(self.in_transit))
         if arrives:
-            self.hand_over(handed.sender, handed.coordinator, handed.span)
-            if handed.cost:
-                self.decide(handed.coordinator, handed.cost)
+            self.deliver_time(message.sender, message.coordinator, message.span)
+            if message.cost:
+                self.decide(message.coordinator, message.cost)
 
     @rule(coordinator=numbers, cost=st.sampled_from([900, 9000]))
-    def use_and_give_back(self, coordinator: int, cost: int) -> None:
+    def use_and_refund(self, coordinator: int, cost: int) -> None:
         if self.decide(coordinator, cost):
             self.used.pop()
             self.now += 0.25
@@ -123,8 +129,8 @@
             )
 
     @rule(number=numbers)
-    def start_anew(self, number: int) -> None:
-        self.earnings[self.names[number]] = AccruedTime(self.now)
+    def restart(self, number: int) -> None:
+        self.accrued_times[self.names[number]] = AccruedTime(self.now)
         self.ledgers[number] = Ledger()
 
     @rule(unaware=st.lists(numbers, max_size=INSTANCES - 1, unique=True))
@@ -136,8 +142,8 @@
         for number in range(self.joined):
             name = f"new{number}"
             self.names.append(name)
-            self.earnings[name] = AccruedTime(self.now)
-        for number, instance_count in enumerate(self.counts):
+            self.accrued_times[name] = AccruedTime(self.now)
+        for number, instance_count in enumerate(self.instance_counts):
             if number not in unaware:
                 instance_count.update(self.names, self.now)
 
@@ -148,11 +154,11 @@
         self.allowance = self.allowance._replace(rate=rate, burst=rate)
 
     @rule(coordinator=numbers)
-    def sweep(self, coordinator: int) -> None:
+    def remove_full_accounts(self, coordinator: int) -> None:
         self.ledgers[coordinator].remove_full_accounts(self.now)
 
-    def hand_over(self, name: str, coordinator: int, span: TimeSpan | None) -> None:
-        instance_count = self.counts[coordinator]
+    def deliver_time(self, name: str, coordinator: int, span: TimeSpan | None) -> None:
+        instance_count = self.instance_counts[coordinator]
         if span is not None and instance_count.is_counted(name, self.now):
             share = instance_count.compute_share(self.now)
             self.ledgers[coordinator].receive(span, share, self.now)
@@ -179,23 +185,23 @@
 TestAllowances = AllowanceMachine.TestCase
 
 
-def save_for_ever(self: Ledger, accrual: Accrual, now: float) -> float:
+def retain_forever(self: Ledger, accrual: Accrual, now: float) -> float:
     return self.sum_received(600.0, now) * accrual.rate
 
 
-def earn_since_ever(self: AccruedTime, now: float) -> TimeSpan:
+def accrue_twice(self: AccruedTime, now: float) -> TimeSpan:
     return TimeSpan(now - 1.0, now)
 
 
-def count_at_once(self: InstanceCount, name: str, now: float) -> bool:
+def count_immediately(self: InstanceCount, name: str, now: float) -> bool:
     return name in self._seen_at
 
 
 MUTANTS = [
-    Mutant("nothing lapses", Ledger, "_compute_capacity", save_for_ever),
-    Mutant("time is handed over twice", AccruedTime, "take", earn_since_ever),
+    Mutant("nothing lapses", Ledger, "_compute_capacity", retain_forever),
+    Mutant("time is handed over twice", AccruedTime, "take", accrue_twice),
     Mutant("too much is saved", allowances, "MARGIN_SECONDS", -3.0),
-    Mutant("who joins earns at once", InstanceCount, "is_counted", count_at_once),
+    Mutant("who joins earns at once", InstanceCount, "is_counted", count_immediately),
 ]
 
 
@@ -204,7 +210,7 @@
     expect_caught(AllowanceMachine, mutant, monkeypatch)
 
 
-def test_those_that_join_earn_nothing_until_all_can_know_of_them() -> None:
+def test_a_joining_instance_accrues_nothing_until_all_can_know_of_it() -> None:
     instance_count = InstanceCount(0.0)
     instance_count.update(["a", "b"], 1.0)
     instance_count.update(["a", "b", "c"], 100.0)
@@ -215,14 +221,14 @@
     assert instance_count.compute_share(later) == pytest.approx(1 / 3)
 
 
-def test_what_an_instance_finds_at_its_start_counts() -> None:
+def test_instances_found_at_startup_are_counted_at_once() -> None:
     instance_count = InstanceCount(50.0)
     instance_count.update(["a"], 51.0)
     instance_count.update(["a", "b"], 55.0)
     assert instance_count.compute_share(56.0) == 0.5
 
 
-def test_those_that_have_left_earn_nothing() -> None:
+def test_instances_that_left_accrue_nothing() -> None:
     instance_count = InstanceCount(0.0)
     instance_count.update(["a", "b"], 1.0)
     instance_count.update(["a"], 100.0)
