--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -70,18 +70,18 @@
     def __init__(self) -> None:
         super().__init__()
         self.store = Store()
-        self.starts = dict.fromkeys(INSTANCES, 0)
+        self.incarnations = dict.fromkeys(INSTANCES, 0)
         self.registries = {name: self.make_registry(name) for name in INSTANCES}
         self.attempts: list[ClaimAttempt] = []
         self.runs = 0
 
     def make_registry(self, name: str) -> AttemptRegistry:
-        return AttemptRegistry(name, f"i{self.starts[name]}")
+        return AttemptRegistry(name, f"i{self.incarnations[name]}")
 
     @rule(owner=st.sampled_from(INSTANCES))
     def start(self, owner: str) -> None:
         registry = self.registries[owner]
-        self.attempts.append(ClaimAttempt(owner, self.starts[owner], registry))
+        self.attempts.append(ClaimAttempt(owner, self.incarnations[owner], registry))
 
     @precondition(lambda self: self.attempts)
     @rule(number=pick, outcome_kind=st.sampled_from(WRITE_OUTCOMES))
@@ -98,7 +98,7 @@
         elif isinstance(current.step, AskOwner):
             self.ask(current, reachable=outcome_kind != "down")
         elif current.sent:
-            self.settle(current, outcome_kind)
+            self.finish_or_release(current, outcome_kind)
         else:
             self.send(current, runs=outcome_kind != "down")
 
@@ -121,7 +121,7 @@
 
     @precondition(lambda self: self.store.late)
     @rule(number=pick)
-    def land(self, number: int) -> None:
+    def apply_late_write(self, number: int) -> None:
         row, version = self.store.late.pop(number % len(self.store.late))
         self.store.write(row, version)
 
@@ -147,7 +147,7 @@
         current.ran = runs
         self.runs += runs
 
-    def settle(self, current: ClaimAttempt, outcome_kind: str) -> None:
+    def finish_or_release(self, current: ClaimAttempt, outcome_kind: str) -> None:
         """Finish or release a sent attempt, as the controller does."""
         registry = self.registries[current.owner]
         row = current.protocol.own._replace(
@@ -166,7 +166,7 @@
 
     @rule(owner=st.sampled_from(INSTANCES))
     def kill(self, owner: str) -> None:
-        self.starts[owner] += 1
+        self.incarnations[owner] += 1
         self.registries[owner] = self.make_registry(owner)
         self.attempts = [t for t in self.attempts if t.owner != owner]
 
@@ -183,7 +183,7 @@
 TestClaims = ClaimMachine.TestCase
 
 
-def dispatch_unread(self: ClaimProtocol, outcome: Any) -> Any:
+def dispatch_without_read_back(self: ClaimProtocol, outcome: Any) -> Any:
     return claims.Dispatch(0) if isinstance(outcome, Done | Unknown) else ReadClaim()
 
 
@@ -202,7 +202,7 @@
     return AttemptState.SENT if attempt in self._sent else AttemptState.NEVER
 
 
-def answer_for_other_starts(self: AttemptRegistry, attempt: str) -> AttemptState:
+def answer_for_other_incarnations(self: AttemptRegistry, attempt: str) -> AttemptState:
     if attempt in self._sent:
         return AttemptState.SENT
     self._pending.discard(attempt)
@@ -221,7 +221,7 @@
 
 
 MUTANTS = [
-    Mutant("no read-back", ClaimProtocol, "on_write", dispatch_unread),
+    Mutant("no read-back", ClaimProtocol, "on_write", dispatch_without_read_back),
     Mutant("no attempt id compare", ClaimProtocol, "on_read", take_any_row),
     Mutant("takeover of unknown", ClaimProtocol, "on_owner_state", take_over_unknown),
     Mutant(
@@ -231,7 +231,7 @@
         "no incarnation",
         AttemptRegistry,
         "get_state_or_revoke",
-        answer_for_other_starts,
+        answer_for_other_incarnations,
     ),
     Mutant("revoked is sent", AttemptRegistry, "mark_sent", send_though_revoked),
     Mutant("no condition", Store, "write", write_unconditionally),
@@ -243,7 +243,7 @@
     expect_caught(ClaimMachine, mutant, monkeypatch)
 
 
-def test_catches_an_attempt_forgotten_before_its_row_is_written(monkeypatch):
+def test_catches_an_attempt_removed_before_its_row_is_written(monkeypatch):
     early = Mutant("early", sys.modules[__name__], "removes_early", lambda: True)
     expect_caught(ClaimMachine, early, monkeypatch)
 
--- a/tests/test_fleetlinks.py
+++ b/tests/test_fleetlinks.py
@@ -19,7 +19,7 @@
     }
 
 
-def test_few_instances_all_tell_each_other() -> None:
+def test_a_small_fleet_forms_a_full_mesh() -> None:
     members = make_members(MAX_MESH_MEMBERS)
     for name in members:
         links = plan_links(members, name)
@@ -28,13 +28,13 @@
         assert not links.other_hubs
 
 
-def test_an_instance_that_is_not_listed_yet_tells_all() -> None:
+def test_an_instance_that_is_not_listed_yet_sends_to_all() -> None:
     members = make_members(30)
     assert len(plan_links(members, "new").mesh_peers) == 30
 
 
 @given(count=st.integers(MAX_MESH_MEMBERS + 1, 200), domains=st.integers(1, 11))
-def test_groups_have_one_first_choice_and_reach_all_others(
+def test_each_group_has_one_first_choice_known_to_all_others(
     count: int, domains: int
 ) -> None:
     members = make_members(count, domains)
@@ -52,8 +52,8 @@
         assert len(candidates) == min(HUB_CANDIDATES, len(own))
         for name in members:
             if links[name].group != group:
-                told = [[m.name for m in g] for g in links[name].other_hubs]
-                assert first + [c for c in candidates if c != first[0]] in told
+                known = [[m.name for m in g] for g in links[name].other_hubs]
+                assert first + [c for c in candidates if c != first[0]] in known
 
 
 def test_links_grow_slower_than_the_fleet() -> None:
@@ -68,7 +68,7 @@
     assert count_most(390) < 60
 
 
-def test_few_instances_change_their_group_when_one_more_comes() -> None:
+def test_few_instances_change_their_group_when_one_joins() -> None:
     before = make_members(78)
     after = make_members(79)
     moved = [
@@ -79,27 +79,27 @@
     assert len(moved) <= 78 / 4
 
 
-def test_the_widest_links_make_the_hubs() -> None:
+def test_hubs_have_high_bandwidth() -> None:
     """On a scale day hubs with 5 Mbit/s were choked by their own news."""
     members = make_members(78)
-    wide = [f"i{n}" for n in range(0, 78, 10)]
-    members |= {n: members[n]._replace(link_mbps=200.0) for n in wide}
+    high = [f"i{n}" for n in range(0, 78, 10)]
+    members |= {n: members[n]._replace(link_mbps=200.0) for n in high}
     links = {name: plan_links(members, name) for name in members}
     for name in members:
         group = [n for n in members if links[n].group == links[name].group]
-        if any(n in wide for n in group):
+        if any(n in high for n in group):
             hub = next(n for n in group if not links[n].preferred_hubs)
-            assert hub in wide
+            assert hub in high
 
 
-def test_every_group_has_a_wide_link_where_there_are_enough() -> None:
+def test_each_group_has_a_member_with_high_bandwidth() -> None:
     """Two wide instances fell into one group: the other's members heard 2 s late."""
     members = {}
     for domain in ("north", "south", "east", "west"):
         for number in range(22):
             name = f"front-{domain}-{number + 1}"
-            width = 100.0 if number < 2 else 5.0
-            members[name] = Member(name, "10.0.0.1:1", domain, width)
+            bandwidth = 100.0 if number < 2 else 5.0
+            members[name] = Member(name, "10.0.0.1:1", domain, bandwidth)
     links = {name: plan_links(members, name) for name in members}
     groups = {link.group for link in links.values()}
     assert len(groups) == 8
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -73,7 +73,7 @@
         entry = self.pending.pop(which % len(self.pending))
         if outcome_kind == "late":
             self.late.append(entry)
-        landed = outcome_kind != "late" and self.land(entry)
+        landed = outcome_kind != "late" and self.apply_write(entry)
         if outcome_kind == "done" and landed:
             self.accept(entry.request, entry.planned.generation)
         if outcome_kind in ("lost", "late"):
@@ -84,10 +84,10 @@
 
     @precondition(lambda self: self.late)
     @rule(which=number)
-    def land_late(self, which: int) -> None:
-        self.land(self.late.pop(which % len(self.late)))
+    def apply_late_write(self, which: int) -> None:
+        self.apply_write(self.late.pop(which % len(self.late)))
 
-    def land(self, entry: PendingWrite) -> bool:
+    def apply_write(self, entry: PendingWrite) -> bool:
         if entry.version != self.version and checks_version():
             return False
         self.head = entry.planned
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -75,7 +75,7 @@
         """Read, write and hear at once, as on most days."""
         self.renew_or_contend(holder)
         if self.waiting and self.waiting[-1].holder == holder:
-            self.answer(len(self.waiting) - 1, "done")
+            self.complete_write(len(self.waiting) - 1, "done")
 
     @rule(holder=st.sampled_from([0, 1, 2]), seconds=STEP_SECONDS)
     def order_after_a_while(self, holder: int, seconds: float) -> None:
@@ -83,23 +83,23 @@
         self.give_order(holder)
 
     @precondition(lambda self: self.waiting)
-    @rule(number=pick, fate=st.sampled_from(["done", "done", "lost", "late"]))
-    def answer(self, number: int, fate: str) -> None:
+    @rule(number=pick, outcome_kind=st.sampled_from(["done", "done", "lost", "late"]))
+    def complete_write(self, number: int, outcome_kind: str) -> None:
         entry = self.waiting.pop(number % len(self.waiting))
         outcome: Done | Conflict | Unknown = Unknown("lost")
-        if fate == "late":
+        if outcome_kind == "late":
             self.late.append(entry.write)
         else:
-            landed = self.land(entry.write)
-            outcome = landed if fate == "done" else outcome
+            landed = self.apply_write(entry.write)
+            outcome = landed if outcome_kind == "done" else outcome
         self.holders[entry.holder].on_write(entry.write, outcome, entry.sent_at)
 
     @precondition(lambda self: self.late)
     @rule(number=pick)
-    def land_late(self, number: int) -> None:
-        self.land(self.late.pop(number % len(self.late)))
+    def apply_late_write(self, number: int) -> None:
+        self.apply_write(self.late.pop(number % len(self.late)))
 
-    def land(self, write: LeaseWrite) -> Done | Conflict:
+    def apply_write(self, write: LeaseWrite) -> Done | Conflict:
         if write.version != self.version:
             return Conflict({})
         self.row = write.row
@@ -138,21 +138,21 @@
     return LeaseWrite(LeaseRow(self.holder, fence, 0), self._version)
 
 
-def hold_from_the_answer(self, write, outcome, sent_at):
+def hold_beyond_the_term(self, write, outcome, sent_at):
     if isinstance(outcome, Done):
         self._row, self._version = write.row, outcome.value
         self._valid_until = sent_at + 3 * leases.TERM_SECONDS
     return True
 
 
-def hold_for_ever(self: Lease, now: float) -> bool:
+def hold_forever(self: Lease, now: float) -> bool:
     return self._valid_until > 0
 
 
 MUTANTS = [
     Mutant("no wait for the term", Lease, "plan_write", plan_without_waiting),
-    Mutant("held beyond the term", Lease, "on_write", hold_from_the_answer),
-    Mutant("not checked before sending", Lease, "holds", hold_for_ever),
+    Mutant("held beyond the term", Lease, "on_write", hold_beyond_the_term),
+    Mutant("not checked before sending", Lease, "holds", hold_forever),
     Mutant("takeover 3 s too early", leases, "DELIVERY_BOUND_SECONDS", -2.0),
     Mutant("held 4.5 s too long", leases, "MARGIN_SECONDS", -4.0),
 ]
