--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -26,11 +26,7 @@
     refuse_exhausted,
     refuse_unanswered,
 )
-from ashpond.controllers.coordinatorlink import (
-    ANSWER_TIMEOUT_SECONDS,
-    Connect,
-    CoordinatorLink,
-)
+from ashpond.controllers.coordinatorlink import ANSWER_SECONDS, Connect, CoordinatorLink
 from ashpond.decisions.allowances import (
     REFUND_SECONDS,
     Accrual,
@@ -59,8 +55,8 @@
 # How often links and headcount follow the members' table, and full accounts go.
 ADJUST_SECONDS = 0.5
 # The same until the configuration is known: a keeper's share is of those that link.
-UNCONFIGURED_ADJUST_SECONDS = 0.05
-_NO_LIMIT: tuple[int, Allowance | None] = (0, None)
+STARTUP_SECONDS = 0.05
+_UNKNOWN: tuple[int, Allowance | None] = (0, None)
 # After the last limit of a server has ended, links stay for so long.
 LINGER_SECONDS = 30.0
 # Of the teams that have been asked for, so many are told to operators.
@@ -119,7 +115,7 @@
         self._last_declaration: Declaration | None = None
         self._limits: dict[str, Allowance] = {}
         # Limits of configurations that askers know and this instance does not yet.
-        self._received_limits: dict[str, tuple[int, Allowance]] = {}
+        self._peer_limits: dict[str, tuple[int, Allowance]] = {}
         self._uses: dict[str, _Use] = {}
         self._nursery: trio.Nursery | None = None
 
@@ -130,9 +126,7 @@
             while True:
                 self._adjust()
                 is_configured = self._get_declaration() is not None
-                await trio.sleep(
-                    ADJUST_SECONDS if is_configured else UNCONFIGURED_ADJUST_SECONDS
-                )
+                await trio.sleep(ADJUST_SECONDS if is_configured else STARTUP_SECONDS)
 
     async def take(
         self, team: Team | None, tokens: int | None, urgency: int, deadline: float
@@ -151,9 +145,7 @@
         link = self._find_link(team.name)
         if link is None:
             return refuse_unanswered("this instance is starting")
-        verdict = await self._request(
-            link, team.name, allowance, cost, urgency, timeout
-        )
+        verdict = await self._ask(link, team.name, allowance, cost, urgency, timeout)
         if verdict is None:
             return refuse_unanswered("the keeper of the allowance does not answer")
         self._count_use(team.name, cost, verdict.is_granted)
@@ -172,7 +164,7 @@
         link = self._find_link(start_id)
         if link is None:
             return None
-        return await self._request(link, start_id, allowance, 1, urgency, timeout)
+        return await self._ask(link, start_id, allowance, 1, urgency, timeout)
 
     def open_links(self) -> None:
         """Link to the keepers now, if there is anything to ask them for."""
@@ -186,7 +178,7 @@
             return None
         return self._links[find_hash_slot(name, len(self._links))]
 
-    async def _request(
+    async def _ask(
         self,
         link: CoordinatorLink,
         name: str,
@@ -208,7 +200,7 @@
         )
         return await link.ask(request)
 
-    def give_back(self, grant: AllowanceGrant) -> None:
+    def refund(self, grant: AllowanceGrant) -> None:
         """Give back what was taken for a request that has not run.
 
         After a while it has lapsed: a later window may not hold it as well.
@@ -221,9 +213,9 @@
         returned = ReturnedAllowance(grant.team, grant.unit, grant.cost)
         if link.is_own_coordinator:
             ledger = self._get_ledger(len(self._links), link.hash_slot)
-            self._take_returns(ledger, [returned], trio.current_time())
+            self._apply_refunds(ledger, [returned], trio.current_time())
         else:
-            link.give_back(returned)
+            link.queue_refund(returned)
 
     async def serve(self, first: AllowanceAsk, stream: PeerStream) -> None:
         """Answer a peer that takes this instance for a keeper.
@@ -244,10 +236,10 @@
         name = message.sender.rpartition("#")[0]
         if accrued is not None and self._instance_count.is_counted(name, now):
             ledger.receive(accrued, self._instance_count.compute_share(now), now)
-        self._take_returns(ledger, returned, now)
+        self._apply_refunds(ledger, returned, now)
         verdicts = [self._decide(ledger, request, now) for request in requests]
         if verdicts or message.wants_time:
-            with trio.fail_after(ANSWER_TIMEOUT_SECONDS):
+            with trio.fail_after(ANSWER_SECONDS):
                 await stream.send(encode_answer(now, verdicts))
 
     def decide_locally(
@@ -260,12 +252,10 @@
         """Decide as the keeper that this instance takes itself for."""
         now = trio.current_time()
         ledger = self._get_ledger(hash_slots, hash_slot)
-        self._accrue_locally(ledger, link, now)
+        self._accrue(ledger, link, now)
         return self._decide(ledger, request, now)
 
-    def _accrue_locally(
-        self, ledger: Ledger, link: CoordinatorLink, now: float
-    ) -> None:
+    def _accrue(self, ledger: Ledger, link: CoordinatorLink, now: float) -> None:
         accrued = link.accrued_time.take(now)
         if accrued is not None:
             ledger.receive(accrued, self._instance_count.compute_share(now), now)
@@ -280,7 +270,7 @@
         outcome = ledger.spend(
             request.team,
             allowance,
-            self._plan_pace(allowance),
+            self._plan_accrual(allowance),
             request.cost,
             request.urgency,
             request.patience,
@@ -293,14 +283,14 @@
             request.number, False, outcome.retry_after, outcome.remaining, outcome.share
         )
 
-    def _take_returns(
+    def _apply_refunds(
         self, ledger: Ledger, returned: list[ReturnedAllowance], now: float
     ) -> None:
         for entry in returned:
             allowance = self._list_limits().get(entry.team)
             if allowance is not None and allowance.unit is entry.unit:
-                pace = self._plan_pace(allowance)
-                ledger.refund(entry.team, allowance, pace, entry.cost, now)
+                accrual = self._plan_accrual(allowance)
+                ledger.refund(entry.team, allowance, accrual, entry.cost, now)
 
     def _find_allowance(self, request: AllowanceRequest) -> Allowance | None:
         """Return a team's limit by the newest configuration that any asker knows.
@@ -313,12 +303,10 @@
             return make_allowance(rate)
         limits = self._list_limits()
         own = self._get_version()
-        if request.version > max(
-            own, self._received_limits.get(request.team, _NO_LIMIT)[0]
-        ):
-            received = Allowance(request.rate, request.burst, request.unit)
-            self._received_limits[request.team] = request.version, received
-        version, allowance = self._received_limits.get(request.team, _NO_LIMIT)
+        if request.version > max(own, self._peer_limits.get(request.team, _UNKNOWN)[0]):
+            limit = Allowance(request.rate, request.burst, request.unit)
+            self._peer_limits[request.team] = request.version, limit
+        version, allowance = self._peer_limits.get(request.team, _UNKNOWN)
         return allowance if version > own else limits.get(request.team)
 
     def _get_version(self) -> int:
@@ -334,12 +322,12 @@
             self._limits = {t.name: t.allowance for t in teams if t.allowance}
             self._uses = {t: u for t, u in self._uses.items() if t in self._limits}
             version = self._get_version()
-            self._received_limits = {
-                t: h for t, h in self._received_limits.items() if h[0] > version
+            self._peer_limits = {
+                t: h for t, h in self._peer_limits.items() if h[0] > version
             }
         return self._limits
 
-    def _plan_pace(self, allowance: Allowance) -> Accrual:
+    def _plan_accrual(self, allowance: Allowance) -> Accrual:
         if allowance.unit is AllowanceUnit.SERVER_REQUESTS:
             return plan_accrual(allowance, SERVER_BOUNDS)
         return plan_accrual(allowance, self._get_bounds())
@@ -358,14 +346,12 @@
         if self._has_server_limits():
             self._links_needed_until = now + LINGER_SECONDS
         needs_links = self._list_limits() or now < self._links_needed_until
-        wanted = count_hash_slots(self._members.count()) if needs_links else 0
-        if wanted == len(self._links) or self._nursery is None:
+        count = count_hash_slots(self._members.count()) if needs_links else 0
+        if count == len(self._links) or self._nursery is None:
             return
         for link in self._links:
             link.scope.cancel()
-        self._links = [
-            self._make_link(wanted, hash_slot) for hash_slot in range(wanted)
-        ]
+        self._links = [self._make_link(count, hash_slot) for hash_slot in range(count)]
         self._accrues_since = now
         for link in self._links:
             self._nursery.start_soon(link.run)
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ANSWER_TIMEOUT_SECONDS", "Connect", "CoordinatorLink"]
+__all__ = ["ANSWER_SECONDS", "Connect", "CoordinatorLink"]
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import TYPE_CHECKING
@@ -27,7 +27,7 @@
     from ashpond.news.members import Members
 
 # A request waits so long for a keeper's answer; an answer takes a few ms (seconds).
-ANSWER_TIMEOUT_SECONDS = 0.5
+ANSWER_SECONDS = 0.5
 # After so long without one, the next keeper is asked (seconds).
 IDLE_TIMEOUT_SECONDS = 0.2
 CONNECT_SECONDS = 0.3
@@ -53,7 +53,7 @@
         self.request = request
         self.is_sent = False
         self.verdict: AllowanceVerdict | None = None
-        self.event = trio.Event()
+        self.decided = trio.Event()
 
 
 class _Connection:
@@ -138,13 +138,13 @@
         waiter = self._waiters[request.number] = _Waiter(request)
         self._wake.set()
         try:
-            with trio.move_on_after(min(ANSWER_TIMEOUT_SECONDS, request.patience)):
-                await waiter.event.wait()
+            with trio.move_on_after(min(ANSWER_SECONDS, request.patience)):
+                await waiter.decided.wait()
         finally:
             del self._waiters[request.number]
         return waiter.verdict
 
-    def give_back(self, returned: ReturnedAllowance) -> None:
+    def queue_refund(self, returned: ReturnedAllowance) -> None:
         """Have the keeper told of what has not been used."""
         self._returned.append(returned)
         self._wake.set()
@@ -227,7 +227,7 @@
                 waiter.verdict = self._decide_locally(
                     self._hash_slots, self.hash_slot, self, waiter.request
                 )
-                waiter.event.set()
+                waiter.decided.set()
 
     async def _run_connection(self, coordinator: str, connection: _Connection) -> None:
         """Ask a keeper until it is lost, or a better one is there."""
@@ -341,7 +341,7 @@
                 waiter = self._waiters.get(verdict.number)
                 if waiter is not None:
                     waiter.verdict = verdict
-                    waiter.event.set()
+                    waiter.decided.set()
             self._idle_scope.deadline = self._find_idle_deadline()
 
     def _find_idle_deadline(self) -> float:
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -241,7 +241,7 @@
                 self.quarantine,
                 self.servers.announce_unreachable,
                 self.allowances.take,
-                self.allowances.give_back,
+                self.allowances.refund,
                 self.permits.take,
                 self.metrics.count_refusal,
                 self.rng,
--- a/tests/test_allowance_fleet.py
+++ b/tests/test_allowance_fleet.py
@@ -222,11 +222,11 @@
         link = other.allowances._links[0]
         connect = link._connect_to
 
-        async def give_back_and_connect(member: Member) -> PeerStream:
-            link.give_back(ReturnedAllowance("desk", AllowanceUnit.TOKENS, 9_000))
+        async def refund_and_connect(member: Member) -> PeerStream:
+            link.queue_refund(ReturnedAllowance("desk", AllowanceUnit.TOKENS, 9_000))
             return await connect(member)
 
-        monkeypatch.setattr(link, "_connect_to", give_back_and_connect)
+        monkeypatch.setattr(link, "_connect_to", refund_and_connect)
         nursery.start_soon(fleet.restart, [coordinator], 5.0)
         await trio.sleep(1.5)
         assert link.coordinator not in ("", coordinator)
