--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -325,12 +325,12 @@
     assert recorder.quarantine.classify(FINGERPRINT) is QuarantineState.QUARANTINED
 
 
-async def take(
-    quarantine: Quarantine, seconds: float, turns: list[AttemptDecision]
+async def make_attempt(
+    quarantine: Quarantine, seconds: float, decisions: list[AttemptDecision]
 ) -> None:
     until = trio.current_time() + 1.0
-    async with quarantine.admit_attempt(FINGERPRINT, until) as turn:
-        turns.append(turn)
+    async with quarantine.admit_attempt(FINGERPRINT, until) as decision:
+        decisions.append(decision)
         await trio.sleep(seconds)
 
 
@@ -339,16 +339,16 @@
 ) -> None:
     quarantine = make_quarantine()
     quarantine.merge_reported(make_crashes(1), "peer")
-    turns: list[AttemptDecision] = []
+    decisions: list[AttemptDecision] = []
     for _ in range(3):
-        nursery.start_soon(take, quarantine, 0.7, turns)
+        nursery.start_soon(make_attempt, quarantine, 0.7, decisions)
     await trio.sleep(0.1)
-    assert turns == [AttemptDecision.ALONE]
+    assert decisions == [AttemptDecision.ALONE]
     await trio.sleep(0.7)
-    assert turns == [AttemptDecision.ALONE] * 2
+    assert decisions == [AttemptDecision.ALONE] * 2
     # The third has waited until its deadline.
     await trio.sleep(0.3)
-    assert turns[2] is AttemptDecision.BUSY
+    assert decisions[2] is AttemptDecision.BUSY
 
 
 async def test_a_refused_attempt_blocks_no_other(autojump_clock: object) -> None:
@@ -368,8 +368,8 @@
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     quarantine = make_quarantine()
-    half = Answer(200, (b"id: 1\ndata: x\n\n",), error=BROKEN, delay=0.1)
-    rest = Answer(200, (b"id: 2\ndata: y\n\n",))
+    first_half = Answer(200, (b"id: 1\ndata: x\n\n",), error=BROKEN, delay=0.1)
+    remainder = Answer(200, (b"id: 2\ndata: y\n\n",))
 
     async def suspect() -> None:
         await trio.sleep(0.05)
@@ -382,7 +382,11 @@
         nursery.start_soon(suspect)
 
     bench = await run_call(
-        half, rest, route=RESUMABLE, quarantine=quarantine, prepare=start_reports
+        first_half,
+        remainder,
+        route=RESUMABLE,
+        quarantine=quarantine,
+        prepare=start_reports,
     )
     assert bench.reply.is_whole
     assert bench.reply.body.getvalue().count(b"data") == 2
@@ -393,13 +397,17 @@
 ) -> None:
     quarantine = make_quarantine()
     quarantine.merge_reported(make_crashes(1), "peer")
-    turns: list[AttemptDecision] = []
+    decisions: list[AttemptDecision] = []
     for _ in range(3):
-        nursery.start_soon(take, quarantine, 0.5, turns)
+        nursery.start_soon(make_attempt, quarantine, 0.5, decisions)
     await trio.sleep(0.2)
     quarantine.note_answered(FINGERPRINT)
     await trio.sleep(0.01)
-    assert turns == [AttemptDecision.ALONE, AttemptDecision.FREE, AttemptDecision.FREE]
+    assert decisions == [
+        AttemptDecision.ALONE,
+        AttemptDecision.FREE,
+        AttemptDecision.FREE,
+    ]
 
 
 async def test_waiting_attempts_are_refused_at_the_third_crash(
@@ -407,13 +415,13 @@
 ) -> None:
     quarantine = make_quarantine()
     quarantine.merge_reported(make_crashes(1), "peer")
-    turns: list[AttemptDecision] = []
+    decisions: list[AttemptDecision] = []
     for _ in range(2):
-        nursery.start_soon(take, quarantine, 0.5, turns)
+        nursery.start_soon(make_attempt, quarantine, 0.5, decisions)
     await trio.sleep(0.2)
     quarantine.merge_reported(make_settled_crashes(), "peer")
     await trio.sleep(0.01)
-    assert turns == [AttemptDecision.ALONE, AttemptDecision.QUARANTINED]
+    assert decisions == [AttemptDecision.ALONE, AttemptDecision.QUARANTINED]
 
 
 def make_contested(count: int) -> list[ServerCrash]:
@@ -452,7 +460,7 @@
     autojump_clock: object,
 ) -> None:
     names = [f"i{number}" for number in range(6)]
-    turns = []
+    decisions = []
     for name in names:
         quarantine = make_quarantine(DecisionLog(name), list_instances=lambda: names)
         contested = make_contested(QUARANTINE_CRASHES)
@@ -463,10 +471,13 @@
             ],
             "peer",
         )
-        async with quarantine.admit_attempt(FINGERPRINT, trio.current_time()) as turn:
-            turns.append(turn)
+        async with quarantine.admit_attempt(
+            FINGERPRINT, trio.current_time()
+        ) as decision:
+            decisions.append(decision)
     assert (
-        sorted(turns, key=str) == [AttemptDecision.ALONE] + [AttemptDecision.BUSY] * 5
+        sorted(decisions, key=str)
+        == [AttemptDecision.ALONE] + [AttemptDecision.BUSY] * 5
     )
 
 
@@ -616,7 +627,7 @@
     autojump_clock: object,
 ) -> None:
     quarantine = make_quarantine()
-    half = Answer(200, (b"id: 1\ndata: x\n\n",), error=BROKEN)
+    first_half = Answer(200, (b"id: 1\ndata: x\n\n",), error=BROKEN)
 
     def start_reports(table: ServerTable, knowledge: Knowledge) -> None:
         async def report() -> None:
@@ -627,7 +638,7 @@
 
     async with trio.open_nursery() as nursery:
         bench = await run_call(
-            half._replace(delay=0.1),
+            first_half._replace(delay=0.1),
             Answer(),
             route=RESUMABLE,
             quarantine=quarantine,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -40,14 +40,14 @@
     assert isinstance(retry(NotRun("x"), now=10.0), GiveUp)
 
 
-@given(fresh=st.integers(0, 500))
-def test_retries_stay_within_a_share_of_fresh_traffic(fresh):
+@given(first_attempts=st.integers(0, 500))
+def test_retries_stay_within_a_share_of_first_attempts(first_attempts):
     budget = RetryBudget(0.1)
     retries = 0
-    for _ in range(fresh):
+    for _ in range(first_attempts):
         budget.note_first_attempt()
         retries += budget.take()
-    assert retries <= 0.1 * fresh + 10
+    assert retries <= 0.1 * first_attempts + 10
 
 
 NAMES = ["a", "b", "c"]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -75,13 +75,13 @@
     more=st.lists(responses, min_size=1, max_size=4)
     | st.lists(st.one_of(responses, st.none()), max_size=4),
 )
-async def test_a_stream_is_whole_or_ends_in_an_error(first, more):
-    rest = list(more)
+async def test_a_stream_is_complete_or_ends_in_an_error(first, more):
+    remaining = list(more)
     asked: list[int] = []
 
     async def reopen(_: EngineAnswer, plan: Continue) -> EngineAnswer | None:
         asked.append(plan.after)
-        response = rest.pop(0) if rest else None
+        response = remaining.pop(0) if remaining else None
         return make_answer(response) if response else None
 
     async def cancel(answer: EngineAnswer) -> None:
