--- a/ashpond/decisions/budget.py
+++ b/ashpond/decisions/budget.py
@@ -18,7 +18,7 @@
 
 
 class AttemptCounts(NamedTuple):
-    """The numbers of first attempts and of retries within one window."""
+    """The numbers of first attempts and of retries in one window."""
 
     first: Number = 0
     retries: Number = 0
@@ -69,7 +69,10 @@
         self._peers[peer] = (now, counts)
 
     def keep_peers(self, peers: Container[str]) -> None:
-        """Remove all counts but those of ``peers``, own or forwarded by other peers."""
+        """Remove the counts of all senders but ``peers``.
+
+        A peer's counts may include those that it forwards for other instances.
+        """
         self._peers = {p: reported for p, reported in self._peers.items() if p in peers}
 
     def count_own(self, now: float) -> AttemptCounts:
--- a/ashpond/decisions/ratelimits.py
+++ b/ashpond/decisions/ratelimits.py
@@ -34,7 +34,7 @@
 # The greatest age that a peer's notice may have when it arrives (seconds).
 MAX_NOTICE_AGE_SECONDS = 1.0
 # After a refusal, the next permit is requested when one is expected to be available.
-# Each further refusal in a row makes the pause half as long again, within these limits
+# Each further refusal in a row multiplies the pause by 1.5, within these limits
 # (seconds).
 MIN_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 15.0
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -60,7 +60,7 @@
 # A failed answer costs about as much as the full latency objective.
 FAILURE_COST_SECONDS = 0.6
 COLD_COST_SECONDS = 0.05
-# Fetching cached tokens takes a few ms, a hundredth of the time to prefill them.
+# Fetching cached tokens takes a few ms, a hundredth of the time to prefill the same.
 FETCH_COST_SECONDS = 0.006
 # A cached token takes 18 KB; stores have links of 25 Gbit/s, engines 20 times that.
 STORE_SECONDS_PER_TOKEN = 6e-6
@@ -92,7 +92,8 @@
     """The properties of a request that the choice of a server depends on.
 
     ``cache_namespace`` separates the cached prompt parts of teams that share none.
-    ``is_suspected`` is set if the request may crash its server, with all others there.
+    Servers in ``excluded`` are not chosen. ``is_suspected`` marks a request that may
+    crash its server.
     """
 
     service: str
