--- a/ashpond/controllers/allowancegrants.py
+++ b/ashpond/controllers/allowancegrants.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that needs its team's allowance."""
+"""Grants and refusals of requests that count against a team's allowance."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 TOO_MANY_REQUESTS_STATUS = 429
 UNAVAILABLE_STATUS = 503
-# A keeper could not be asked; the next one may be by then (seconds).
+# When a client may retry if no coordinator answered: by then the next may (seconds).
 UNANSWERED_RETRY_SECONDS = 0.3
 
 
 class AllowanceGrant(NamedTuple):
-    """What a request was granted, and when; a cost of 0 where there is no limit."""
+    """The cost that a request was granted, and when; 0 where there is no limit."""
 
     team: str
     unit: AllowanceUnit
@@ -33,12 +33,12 @@
 async def grant_unlimited(
     team: Team | None, tokens: int | None, urgency: int, deadline: float
 ) -> AllowanceGrant:
-    """Take nothing, for calls of teams whose use has no limit."""
+    """Return a grant of 0, for requests of teams without a limit."""
     return AllowanceGrant("", AllowanceUnit.REQUESTS, 0, trio.current_time())
 
 
 def refuse_unanswered(message: str) -> Refusal:
-    """Return the refusal of a request for which no keeper could be asked."""
+    """Return the refusal of a request that no coordinator has decided on."""
     return Refusal(
         UNAVAILABLE_STATUS,
         "allowance_unknown",
@@ -50,7 +50,11 @@
 def refuse_exhausted(
     allowance: Allowance, cost: int, verdict: AllowanceVerdict, coordinator: str
 ) -> Refusal:
-    """Return the refusal of a request that its team's allowance does not hold."""
+    """Return the refusal of a request that exceeds its team's allowance.
+
+    :param verdict: the coordinator's answer; without a time to retry, the cost is
+        more than the account can ever hold.
+    """
     if verdict.retry_after is None:
         message = (
             f"the request counts {cost} {allowance.unit}, more than its team can "
--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -1,4 +1,4 @@
-"""Ask the keepers of the teams' allowances, and be one."""
+"""Ask the coordinators of allowances, and decide as one of them."""
 
 from __future__ import annotations
 
@@ -52,34 +52,33 @@
 
 INCARNATION_BYTES = 4
 MAX_FRAME_BYTES = 1 << 20
-# How often links and headcount follow the members' table, and full accounts go.
+# How often links, instance count and accounts are adjusted to the members (seconds).
 ADJUST_SECONDS = 0.5
-# The same until the configuration is known: a keeper's share is of those that link.
+# The same at the start: coordinators only have the time of connected instances.
 STARTUP_SECONDS = 0.05
 _UNKNOWN: tuple[int, Allowance | None] = (0, None)
-# After the last limit of a server has ended, links stay for so long.
+# How long links stay open after the last rate limit of a server was lifted (seconds).
 LINGER_SECONDS = 30.0
-# Of the teams that have been asked for, so many are told to operators.
+# The most teams in the description for operators: those with the most use.
 DESCRIBED_TEAMS = 20
 
 
 class _Use(NamedTuple):
-    """What this instance has used for a team, and refused it, since its start."""
+    """What this instance has granted and refused to a team since its start."""
 
     granted: int = 0
     refused: int = 0
 
 
 class Allowances:
-    """The teams' allowances, as one instance asks for them and keeps some.
+    """Asks the coordinators of limits, and decides for those that ask this instance.
 
     :param get_declaration: returns the configuration in force.
-    :param get_bounds: returns how exactly limits are to be kept.
-    :param count_use: counts what a team asked for, and whether it was granted.
-    :param connect: returns a connection to a peer, by its address if it is None.
-    :param find_server_rate: returns the rate limit of a start of a server, None if it
-        has none (requests a second).
-    :param has_server_limits: returns whether any server names a limit.
+    :param get_bounds: returns by how much limits may be exceeded.
+    :param count_use: counts the cost of a team's request and whether it was granted.
+    :param connect: opens a connection to a peer, by default to its address.
+    :param find_server_rate: returns the requests per second of a start id, or None.
+    :param has_server_limits: returns whether any server has a rate limit.
     """
 
     def __init__(
@@ -105,22 +104,21 @@
         self._connect = connect or self._connect_by_address
         self._find_server_rate = find_server_rate
         self._has_server_limits = has_server_limits
-        # Until when there are limits besides those of teams.
         self._links_needed_until = now
-        # An earlier life of this instance earned what was before; no one else does.
+        # The previous incarnation of this instance has accrued the time before.
         self._accrues_since = now
         self._instance_count = InstanceCount(now)
         self._ledgers: dict[tuple[int, int], Ledger] = {}
         self._links: list[CoordinatorLink] = []
         self._last_declaration: Declaration | None = None
         self._limits: dict[str, Allowance] = {}
-        # Limits of configurations that askers know and this instance does not yet.
+        # Limits from peers whose configuration is newer, with its version.
         self._peer_limits: dict[str, tuple[int, Allowance]] = {}
         self._uses: dict[str, _Use] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Keep linked to the keepers, as long as any team has a limit."""
+        """Keep the links to the coordinators open while there are any limits."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
@@ -131,10 +129,10 @@
     async def take(
         self, team: Team | None, tokens: int | None, urgency: int, deadline: float
     ) -> AllowanceGrant | Refusal:
-        """Take what one run of a request costs, or say why it may not run.
+        """Take the cost of one run of a request, or return why it may not run.
 
-        :param tokens: those that the request told.
-        :param deadline: when its client leaves, on this process's clock.
+        :param tokens: the tokens that the request names, None if it names none.
+        :param deadline: when the client stops waiting, on this process's clock.
         """
         if team is None or team.allowance is None:
             return await grant_unlimited(team, tokens, urgency, deadline)
@@ -156,10 +154,10 @@
     async def request_permit(
         self, start_id: str, allowance: Allowance, urgency: int, timeout: float
     ) -> AllowanceVerdict | None:
-        """Return whether a request may be sent to a server that names a limit.
+        """Ask for a permit for a limited server; return None if there is no answer.
 
-        :param start: the start of the server, as its state names it.
-        :param patience: how long to wait for the keeper (seconds).
+        :param start_id: the id of the server's present start.
+        :param timeout: how long the request can wait for a permit (seconds).
         """
         link = self._find_link(start_id)
         if link is None:
@@ -167,7 +165,7 @@
         return await self._ask(link, start_id, allowance, 1, urgency, timeout)
 
     def open_links(self) -> None:
-        """Link to the keepers now, if there is anything to ask them for."""
+        """Open the links to the coordinators now if there are any limits."""
         if not self._links:
             self._adjust()
 
@@ -201,10 +199,8 @@
         return await link.ask(request)
 
     def refund(self, grant: AllowanceGrant) -> None:
-        """Give back what was taken for a request that has not run.
-
-        After a while it has lapsed: a later window may not hold it as well.
-        """
+        """Return the grant of a request that has not run, unless it has expired."""
+        # Refunded later, it could exceed the bound of the next window.
         if not grant.cost or trio.current_time() - grant.at > REFUND_SECONDS / 2:
             return
         if not self._links:
@@ -218,9 +214,9 @@
             link.queue_refund(returned)
 
     async def serve(self, first: AllowanceAsk, stream: PeerStream) -> None:
-        """Answer a peer that takes this instance for a keeper.
+        """Answer a peer that has chosen this instance as a coordinator.
 
-        :raises FrameError: if it asks what makes no sense.
+        :raises FrameError: if the peer sends an invalid message.
         """
         message: Any = first
         while True:
@@ -249,7 +245,7 @@
         link: CoordinatorLink,
         request: AllowanceRequest,
     ) -> AllowanceVerdict:
-        """Decide as the keeper that this instance takes itself for."""
+        """Decide on a request of this instance as its own coordinator."""
         now = trio.current_time()
         ledger = self._get_ledger(hash_slots, hash_slot)
         self._accrue(ledger, link, now)
@@ -265,7 +261,7 @@
     ) -> AllowanceVerdict:
         allowance = self._find_allowance(request)
         if allowance is None or not allowance.rate:
-            # A team that is told to have a rate of 0 has no limit.
+            # In a request, a rate of 0 means that the team has no limit.
             return AllowanceVerdict(request.number, True, None, 0.0, 0.0)
         outcome = ledger.spend(
             request.team,
@@ -293,9 +289,9 @@
                 ledger.refund(entry.team, allowance, accrual, entry.cost, now)
 
     def _find_allowance(self, request: AllowanceRequest) -> Allowance | None:
-        """Return a team's limit by the newest configuration that any asker knows.
+        """Return a team's limit by the newest configuration of any requests, or None.
 
-        None if it has none, or has none any more.
+        Of two different limits of a server, the lower one holds.
         """
         if request.unit is AllowanceUnit.SERVER_REQUESTS:
             known = self._find_server_rate(request.team)
@@ -314,7 +310,6 @@
         return 0 if declaration is None else declaration.version
 
     def _list_limits(self) -> dict[str, Allowance]:
-        """Return the limits of all teams that have one."""
         declaration = self._get_declaration()
         if declaration is not self._last_declaration:
             self._last_declaration = declaration
@@ -336,7 +331,7 @@
         return self._ledgers.setdefault((hash_slots, hash_slot), Ledger())
 
     def _adjust(self) -> None:
-        """Link to the keepers that the present members call for."""
+        """Open one link per hash slot, by the present number of instances."""
         now = trio.current_time()
         self._instance_count.update(
             {*self._members.by_name, self._members.own.name}, now
@@ -380,7 +375,7 @@
             self._uses[team] = use._replace(refused=use.refused + cost)
 
     def describe(self) -> dict[str, Any]:
-        """Return for operators who keeps the accounts, and what has been used here."""
+        """Return the coordinators, accounts and use of teams, for operators."""
         now = trio.current_time()
         uses = sorted(self._uses.items(), key=lambda entry: -sum(entry[1]))
         return {
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -1,4 +1,4 @@
-"""The connection of one instance to the keeper of some teams' allowances."""
+"""The connection of one instance to the coordinator of a hash slot."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
     from ashpond.gateway.decisionlog import DecisionLog
     from ashpond.news.members import Members
 
-# A request waits so long for a keeper's answer; an answer takes a few ms (seconds).
+# How long a request waits for an answer, which usually takes a few ms (seconds).
 ANSWER_SECONDS = 0.5
-# After so long without one, the next keeper is asked (seconds).
+# After this time without an answer, the next coordinator is asked (seconds).
 IDLE_TIMEOUT_SECONDS = 0.2
 CONNECT_SECONDS = 0.3
-# A keeper that was not reached is passed over for so long (seconds).
+# How long an unreachable coordinator is not tried again (seconds).
 AVOID_SECONDS = 2.0
-# A keeper that has just begun has nothing saved: requests wait until instances have
-# handed it some time (seconds).
+# How long requests to a new coordinator wait: it can grant nothing until it has
+# received accrued time from the instances (seconds).
 FILL_SECONDS = 0.15
-# Before a better keeper is asked, it gets the time for so long, and saves it up, while
-# the one before it still answers from what it has saved (seconds).
+# How long a preferred coordinator receives accrued time before it is asked; meanwhile
+# the present one still answers from what it has saved (seconds).
 WARMUP_SECONDS = 1.0
-# Earned time that no request carries is handed over so often (seconds).
+# How often accrued time is sent when no request carries it (seconds).
 HAND_OVER_SECONDS = 0.25
 
 Connect = Callable[[Member], Awaitable[PeerStream]]
@@ -57,10 +57,10 @@
 
 
 class _Connection:
-    """A connection to a keeper, whose clock is ``ahead`` of this process's.
+    """A connection to a coordinator, and the offset of its clock from this process's.
 
-    What a keeper says of its clock was true when it said so, and is less than true when
-    it arrives: what it is handed never looks younger than it is.
+    A coordinator's answer is on its way for a moment, so the offset is never estimated
+    too large, and accrued time never looks more recent than it is.
     """
 
     def __init__(self, stream: PeerStream, clock_offset: float):
@@ -68,25 +68,25 @@
         self.clock_offset = clock_offset
 
     def update_clock_offset(self, coordinator_now: float) -> None:
-        """Take what the keeper's clock showed when it answered."""
+        """Update the offset by the time at which the coordinator answered."""
         self.clock_offset = max(
             self.clock_offset, coordinator_now - trio.current_time()
         )
 
     def to_coordinator_clock(self, span: TimeSpan) -> TimeSpan:
-        """Return a span of this process's clock on the keeper's."""
+        """Convert a span of time from this process's clock to the coordinator's."""
         return TimeSpan(span.begin + self.clock_offset, span.end + self.clock_offset)
 
 
 class CoordinatorLink:
-    """Asks the keeper of one slot, whichever instance that is at present.
+    """Asks the coordinator of one hash slot, and reconnects when it is lost.
 
-    Any instance may be asked without harm to the limits, so that each finds its keeper
-    by itself: the first candidate that it reaches, and at last itself.
+    Limits hold whichever instance is asked, as accrued time is sent only once. So each
+    instance chooses by itself: the first candidate that it reaches, or itself if none.
 
-    :param decide_here: decides if this instance is its own keeper.
-    :param connect: returns a connection to an instance.
-    :param earns_since: from when on what is earned has not been handed over yet.
+    :param decide_locally: decides while this instance is its own coordinator.
+    :param connect: opens a connection to an instance.
+    :param accrues_since: the time before was accrued elsewhere, or was already sent.
     """
 
     def __init__(
@@ -117,22 +117,22 @@
         self._number = 0
         self._wake = trio.Event()
         self._idle_scope = trio.CancelScope()
-        # Whether the keeper has just begun to be asked, and has nothing saved.
+        # Whether the coordinator is new and may not have received any time yet.
         self._must_fill = True
         self._is_warming_up = False
 
     @property
     def is_own_coordinator(self) -> bool:
-        """Whether this instance is its own keeper at present."""
+        """Whether this instance is its own coordinator at present."""
         return self.coordinator == self._own_name
 
     def next_number(self) -> int:
-        """Return a number for a request that no other on this link has."""
+        """Return a new number for a request on this link."""
         self._number += 1
         return self._number
 
     async def ask(self, request: AllowanceRequest) -> AllowanceVerdict | None:
-        """Return the keeper's verdict, None if there was none in time."""
+        """Return the coordinator's verdict, None if there was none in time."""
         if self.is_own_coordinator:
             return self._decide_locally(self._hash_slots, self.hash_slot, self, request)
         waiter = self._waiters[request.number] = _Waiter(request)
@@ -145,12 +145,12 @@
         return waiter.verdict
 
     def queue_refund(self, returned: ReturnedAllowance) -> None:
-        """Have the keeper told of what has not been used."""
+        """Send an unused grant back to the coordinator."""
         self._returned.append(returned)
         self._wake.set()
 
     async def run(self) -> None:
-        """Stay connected to the best keeper there is, until cancelled."""
+        """Stay connected to the preferred reachable coordinator until cancelled."""
         with self.scope:
             while True:
                 coordinator, connection = await self._find_coordinator()
@@ -167,7 +167,7 @@
         self.coordinator = coordinator
 
     def _list_candidates(self) -> list[Member]:
-        """Return whom to try, the best first, without those just found away."""
+        """Return the candidates in order of preference, without unreachable ones."""
         own = self._members.own
         members = {**self._members.by_name, own.name: own}
         now = trio.current_time()
@@ -178,7 +178,11 @@
         ]
 
     async def _find_coordinator(self) -> tuple[str, _Connection | None]:
-        """Return the best keeper that can be reached; itself without a connection."""
+        """Connect to the first reachable candidate.
+
+        Return its name and the connection; this instance's own name and None if it is
+        its own coordinator.
+        """
         for member in self._list_candidates():
             if member.name == self._own_name:
                 break
@@ -188,7 +192,7 @@
         return self._own_name, None
 
     async def _connect(self, member: Member) -> _Connection | None:
-        """Connect to a keeper and learn its clock; None if it is away."""
+        """Connect to a coordinator and read its clock; return None if that fails."""
         stream = None
         try:
             with trio.fail_after(CONNECT_SECONDS):
@@ -203,7 +207,7 @@
                 await stream.send(request)
                 answer = await stream.receive()
                 if not isinstance(answer, AllowanceAnswer):
-                    raise FrameError("a keeper that does not answer")
+                    raise FrameError("expected an allowance answer")
                 decode_answer(answer)
                 return _Connection(stream, answer.now - trio.current_time())
         except PEER_ERRORS as error:
@@ -221,7 +225,7 @@
         self._log.note("allowance_keeper_lost", keeper=name, reason=reason)
 
     def _decide_pending(self) -> None:
-        """Decide here what waited for a keeper."""
+        """Decide locally on the requests that wait for a coordinator."""
         for waiter in list(self._waiters.values()):
             if waiter.verdict is None:
                 waiter.verdict = self._decide_locally(
@@ -230,12 +234,12 @@
                 waiter.decided.set()
 
     async def _run_connection(self, coordinator: str, connection: _Connection) -> None:
-        """Ask a keeper until it is lost, or a better one is there."""
+        """Ask a coordinator until it is lost or a preferred one is reachable."""
         for waiter in self._waiters.values():
             waiter.is_sent = False
-        # What waited since the last conversation would come back too late.
+        # Refunds queued for the previous connection have expired.
         self._returned.clear()
-        reason = "it is silent"
+        reason = "no answer in time"
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
@@ -258,7 +262,7 @@
     async def _watch_for_preferred(
         self, coordinator: str, scope: trio.CancelScope
     ) -> None:
-        """End a conversation once a candidate that goes before its keeper is back."""
+        """Cancel ``scope`` once a candidate of higher preference is reachable."""
         while True:
             await trio.sleep(AVOID_SECONDS)
             for member in self._list_candidates():
@@ -269,7 +273,7 @@
                     return
 
     async def _warm_up(self, member: Member) -> bool:
-        """Hand time to a better keeper; return whether it is there to be asked."""
+        """Send accrued time to a candidate; return whether it can be asked now."""
         connection = await self._connect(member)
         if connection is None:
             return False
@@ -326,7 +330,7 @@
             await connection.stream.send(message)
 
     def _take_accrued(self, connection: _Connection) -> TimeSpan | None:
-        """Return what has been earned since, on a keeper's clock."""
+        """Return the time accrued since the last call, on the coordinator's clock."""
         accrued = self.accrued_time.take(trio.current_time())
         return None if accrued is None else connection.to_coordinator_clock(accrued)
 
@@ -345,7 +349,7 @@
             self._idle_scope.deadline = self._find_idle_deadline()
 
     def _find_idle_deadline(self) -> float:
-        """Return when the keeper is taken for lost if it does not answer."""
+        """Return when the connection counts as lost unless an answer arrives."""
         waiters = self._waiters.values()
         if any(waiter.is_sent and waiter.verdict is None for waiter in waiters):
             return trio.current_time() + IDLE_TIMEOUT_SECONDS
--- a/ashpond/controllers/permits.py
+++ b/ashpond/controllers/permits.py
@@ -1,4 +1,4 @@
-"""Permits for requests to backend servers that name a rate limit."""
+"""Permits for requests to backend servers with a rate limit."""
 
 from __future__ import annotations
 
@@ -17,33 +17,35 @@
     from ashpond.controllers.directory import ServerState
     from ashpond.decisions.allowances import Allowance
 
-# A keeper that answers later is not waited for: other servers are there (seconds).
+# How long to wait for a coordinator's answer: rather than wait longer, the request
+# goes to another server (seconds).
 ANSWER_TIMEOUT_SECONDS = 0.15
-# When a permit that no keeper answered for is asked for again (seconds).
+# How long no permit is requested for a server after no answer has come (seconds).
 UNANSWERED_PAUSE_SECONDS = 0.3
-# Keepers need so long to get the first of all instances' time (seconds).
+# How long no permit is requested for a newly limited server, until its coordinator
+# has received the first accrued time of all instances (seconds).
 FIRST_PERMIT_SECONDS = 0.3
-# Requests that find no permit are not promised one that comes later (seconds).
+# A refused request is only promised a permit that is expected within this (seconds).
 MAX_PERMIT_WAIT_SECONDS = 2.0
 
 
 class PermitSource(Protocol):
-    """Whom permits are asked from."""
+    """Decides on permits."""
 
     def open_links(self) -> None:
-        """Connect to whoever decides."""
+        """Connect to the coordinators."""
 
     async def request_permit(
         self, start_id: str, allowance: Allowance, urgency: int, timeout: float
     ) -> AllowanceVerdict | None:
-        """Return a verdict, None if there is none in time."""
+        """Return the verdict, None if there is no answer in time."""
 
 
 class Permits:
-    """Asks the keepers of allowances before requests go to limited servers.
+    """Requests a permit before each request to a server with a rate limit.
 
-    :param count: counts an outcome of asking.
-    :param wake: looks for places for calls that wait.
+    :param count: counts the outcome of a request for a permit.
+    :param wake: wakes calls that wait for a server.
     """
 
     def __init__(
@@ -59,9 +61,9 @@
         self._wake = wake
 
     def on_limit(self, state: ServerState, before: float | None) -> None:
-        """Take a server's new limit.
+        """Adapt to a change of a server's rate limit.
 
-        :param before: the limit before it, None if there was none.
+        :param before: the previous limit (requests per second), None if there was none.
         """
         state.permit_refusals = 0
         rate = state.rate_limit.rate
@@ -75,7 +77,7 @@
     async def take(self, state: ServerState, urgency: int) -> bool:
         """Return whether a request may be sent to a server now.
 
-        If not, the server gets none from here for a while.
+        If not, this instance sends it none until a pause has passed.
         """
         rate = state.rate_limit.rate
         if rate is None:
@@ -109,5 +111,5 @@
 
 
 async def grant_without_limit(state: ServerState, urgency: int) -> bool:
-    """Grant a permit without asking, where no server names a limit."""
+    """Grant a permit where no server has a rate limit."""
     return True
