--- a/ashpond/controllers/admission.py
+++ b/ashpond/controllers/admission.py
@@ -1,4 +1,4 @@
-"""The queues of requests that wait to start, one a service."""
+"""The queues of requests that wait to start, one per service."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 class AdmissionSlot(NamedTuple):
-    """A started request's place; give it back with ``leave``."""
+    """The right of a request to run; release it with :meth:`leave`."""
 
     service: str
     started_at: float
 
 
 class _Waiter:
-    """One queued request and what became of it."""
+    """A queued request: it may start once ``decided`` is set without a refusal."""
 
     def __init__(self) -> None:
         self.decided = trio.Event()
@@ -50,7 +50,7 @@
 
 
 class AdmissionController:
-    """Lets requests start in order, as far as the engines have room."""
+    """Starts queued requests in order while the engines have free capacity."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         configuration.subscribe(self._reconcile)
 
     async def run(self) -> None:
-        """Follow the engines' capacity for ever."""
+        """Adapt the queues to the engines' capacity, forever."""
         while True:
             self._refresh()
             waiting = any(queue.waiting for queue in self._queues.values())
@@ -129,7 +129,7 @@
             queue.abandon(ticket)
 
     def leave(self, slot: AdmissionSlot) -> None:
-        """Give back a place and start who is next."""
+        """Release a slot and start the next requests."""
         queue = self._queues.get(slot.service)
         if queue is not None:
             now = trio.current_time()
--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -1,4 +1,4 @@
-"""The fleet's budgets of repeated sends, one a service."""
+"""The retry budgets that all instances share, one per service."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class RetryBudgets:
-    """What this instance and, as far as it hears, all others have sent again.
+    """The attempts of this instance and of its peers, by their latest reports.
 
     :param get_bounds: returns the bounds in force.
-    :param get_news: returns what tells how late others' counts may come.
-    :param count_instances: returns how many share a budget.
+    :param get_updates: returns the exchange with peers, which measures their delay.
+    :param count_instances: returns how many instances share a budget.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._count_instances = count_instances
 
     def get(self, service: str) -> FleetRetryBudget:
-        """Return the budget of a service, as late as news of it may be now."""
+        """Return the budget of a service, with the present delay of peers' reports."""
         budget = self.by_service.get(service)
         if budget is None:
             bounds = self._get_bounds()
@@ -51,25 +51,25 @@
         return budget
 
     def reset(self) -> None:
-        """Go by the bounds now in force."""
+        """Drop all counts, so that new budgets use the bounds now in force."""
         self.by_service.clear()
 
     def list_own(self) -> dict[str, AttemptCounts]:
-        """Return what this instance has sent of late, by service."""
+        """Return this instance's attempts in the present window, by service."""
         now = trio.current_time()
         return {name: budget.count_own(now) for name, budget in self.by_service.items()}
 
     def note_peer(self, service: str, peer: str, counts: AttemptCounts) -> None:
-        """Take the counts of one life of a peer."""
+        """Record the counts of one incarnation of a peer."""
         self.get(service).note_peer(peer, counts, trio.current_time())
 
     def keep_peers(self, peers: Container[str]) -> None:
-        """Forget all counts but those of ``peers``, which include what others told."""
+        """Remove all counts but those of ``peers``, own or forwarded by other peers."""
         for budget in self.by_service.values():
             budget.keep_peers(peers)
 
     def measure_left(self, service: str) -> float:
-        """Return how many streams a load may cut, which then are sent once more."""
+        """Return how many streams a weight load may cut: each costs one retry."""
         now = trio.current_time()
         budget = self.get(service)
         if self._get_updates().links.group:
--- a/ashpond/controllers/burn.py
+++ b/ashpond/controllers/burn.py
@@ -36,10 +36,10 @@
 
 
 class BurnController:
-    """Counts by service, team and minute.
+    """Counts requests by service, team and minute.
 
-    Each start of an instance has an object of its own, which only it writes,
-    so nothing has to be merged on writing and no count is lost by a restart.
+    Each incarnation of an instance writes an object of its own, so that writes need no
+    merge and a restart loses no counts.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self._buckets[key] = self._buckets.get(key, Counts()).plus(counts)
 
     async def run(self) -> None:
-        """Write the counts out for ever."""
+        """Write the counts to the object store periodically, forever."""
         while True:
             await trio.sleep(FLUSH_SECONDS)
             await self.flush()
 
     async def flush(self) -> None:
-        """Write the counts out, if there are new ones."""
+        """Write the counts to the object store if they have changed."""
         self._compact()
         if self._buckets == self._flushed:
             return
@@ -84,7 +84,7 @@
         self._buckets = coarsen_counts(kept, newest)
 
     async def report(self) -> list[BurnRow] | Unavailable:
-        """Return the burn over all instances, past ones included."""
+        """Return the burn over all instances, including those that have stopped."""
         listed = await self._platform.list_objects(PREFIX)
         if not isinstance(listed, Done):
             return Unavailable("the platform's object store does not answer")
--- a/ashpond/controllers/claims.py
+++ b/ashpond/controllers/claims.py
@@ -1,4 +1,4 @@
-"""Claims of requests that may run at most once, and their group commit."""
+"""Claims of requests that may run at most once, written by group commit."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Claim(NamedTuple):
-    """A claim that this instance has; ``version`` is that of its row."""
+    """A claim that this instance holds; ``version`` is the version of its row."""
 
     key: str
     attempt: str
@@ -50,7 +50,7 @@
 
 
 class _Write:
-    """One conditional write that waits for its batch."""
+    """A conditional write that waits for its batch."""
 
     def __init__(self, put: Put):
         self.put = put
@@ -63,10 +63,10 @@
 
 
 class ClaimsController:
-    """Claims, finishes and releases; answers other instances about attempts.
+    """Claims requests, finishes or releases the claims, and reports attempts to peers.
 
-    Writes that come while a transaction is under way go out together in the
-    next one, so no write waits for a batch to fill.
+    Writes that arrive during a transaction are sent together in the next one, so no
+    write waits for a batch to fill.
     """
 
     def __init__(
@@ -89,13 +89,13 @@
         ](math.inf)
 
     async def run(self) -> None:
-        """Write batches for ever."""
+        """Write batches of claims, forever."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_writer)
             nursery.start_soon(self._run_finisher, nursery)
 
     def answer(self, attempt: str) -> AttemptState:
-        """Answer another instance's question about an attempt."""
+        """Return the state of an attempt, for a peer."""
         try:
             return self.registry.get_state_or_revoke(attempt)
         except ValueError:
@@ -106,7 +106,7 @@
     ) -> Claim | Replay | Refusal:
         """Run the claim protocol for one request.
 
-        :param ttl: seconds that the claim and its answer are kept.
+        :param ttl: how long the claim and its answer are stored (seconds).
         """
         attempt = self.registry.open()
         protocol = ClaimProtocol(attempt, digest)
@@ -158,13 +158,16 @@
             return AttemptState.UNKNOWN
 
     def finish(self, claim: Claim, answer: bytes) -> None:
-        """Keep a whole answer for duplicates, in the background."""
+        """Store a complete answer for duplicates of the request, in the background.
+
+        A larger answer than ``MAX_STORED_ANSWER_BYTES`` is stored as empty.
+        """
         stored = answer if len(answer) <= MAX_STORED_ANSWER_BYTES else b""
         row = ClaimRow(claim.attempt, claim.digest, finished=True, answer=stored)
         self._finishes.send_nowait((claim, row))
 
     def release(self, claim: Claim) -> None:
-        """Let another attempt have the claim: this one certainly did not run."""
+        """Release the claim to other attempts: this one certainly did not run."""
         self.registry.give_up(claim.attempt)
         self.registry.remove(claim.attempt)
         row = ClaimRow(claim.attempt, claim.digest, released=True)
@@ -185,7 +188,7 @@
         for retry in range(FINISH_ATTEMPTS):
             outcome = await self._write(put)
             if isinstance(outcome, Done | Conflict):
-                # From now on the row itself tells what became of the attempt.
+                # From now on the row itself shows the outcome of the attempt.
                 self.registry.remove(claim.attempt)
                 return
             await trio.sleep(FINISH_PAUSE_SECONDS * 2**retry)
@@ -204,7 +207,10 @@
             pending = await self._write_batch(batch) + pending
 
     async def _write_batch(self, batch: list[_Write]) -> list[_Write]:
-        """Write one transaction; return the writes that must be tried again."""
+        """Write one transaction; return the writes without a conflict, to retry them.
+
+        A conflict on one row rejects the whole transaction.
+        """
         outcome = await self._platform.transact([write.put for write in batch])
         if isinstance(outcome, Done):
             for write, version in zip(batch, outcome.value, strict=True):
@@ -224,7 +230,7 @@
 
 
 def split_batch(writes: list[_Write]) -> tuple[list[_Write], list[_Write]]:
-    """Return writes with different keys, and those that have to wait."""
+    """Split writes into a batch of distinct keys and those that have to wait."""
     first: dict[str, _Write] = {}
     deferred = []
     for write in writes:
--- a/ashpond/controllers/configuration.py
+++ b/ashpond/controllers/configuration.py
@@ -42,7 +42,7 @@
 
 
 class ApplyFailed(NamedTuple):
-    """The apply is not known to be accepted; repeat it with the same id."""
+    """The apply may not have been accepted; retry it with the same id."""
 
     reason: str
 
@@ -51,7 +51,7 @@
 
 
 class ConfigurationController:
-    """Adopts ever higher generations from the platform and from peers."""
+    """Adopts higher generations from the platform and from peers."""
 
     def __init__(self, platform: PlatformClient, poll_seconds: float):
         self._platform = platform
@@ -64,7 +64,7 @@
 
     @property
     def generation(self) -> int:
-        """The generation in force here, 0 for none."""
+        """The generation in force on this instance, 0 for none."""
         return self.head.generation if self.head else 0
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -72,13 +72,13 @@
         self._listeners.append(listener)
 
     async def run(self) -> None:
-        """Look at the platform's head row for ever."""
+        """Poll the platform's head row, forever."""
         while True:
             await self.refresh()
             await trio.sleep(self._poll_seconds * random.uniform(0.8, 1.2))
 
     async def refresh(self) -> None:
-        """Adopt what the platform holds, if it is newer."""
+        """Adopt the platform's generation if it is higher."""
         outcome = await self._platform.get_row(HEAD_KEY)
         if not isinstance(outcome, Done):
             return
@@ -90,7 +90,7 @@
             self.adopt(head, files)
 
     def adopt_from_peer(self, answer: ConfigAnswer) -> bool:
-        """Adopt what a peer runs, if it is newer; return whether it was."""
+        """Adopt a peer's generation if it is higher; return whether it was."""
         digests = {name: digest_text(text) for name, text in answer.files.items()}
         head = Head(answer.generation, digests, answer.applies)
         return self.adopt(head, answer.files)
@@ -107,7 +107,7 @@
         try:
             parsed = parse_configuration(files)
         except ConfigError as error:
-            # An instance of another version accepted it; keep what runs.
+            # An instance of another version accepted it: keep the present generation.
             logger.error("generation_unreadable", extra={"reason": str(error)})
             return False
         self.head, self.files, self.current = head, files, parsed
@@ -122,7 +122,9 @@
     ) -> ApplyOutcome:
         """Make a change of files the next generation.
 
-        :raises ConfigError: if the whole set that would result holds faults.
+        :param files: the new texts by file name, None to remove a file.
+        :param base: the generation that the change was made from, None for any.
+        :raises ConfigError: if the resulting set of files is invalid.
         """
         digests = {
             name: None if text is None else digest_text(text)
--- a/ashpond/controllers/limits.py
+++ b/ashpond/controllers/limits.py
@@ -1,4 +1,4 @@
-"""The teams' request rates, shared out among the instances by demand."""
+"""The teams' request rates, divided among the instances by demand."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         return bucket.take(now)
 
     async def run(self) -> None:
-        """Share the limits out anew for ever."""
+        """Divide the limits among the instances again periodically, forever."""
         while True:
             await trio.sleep(REDISTRIBUTION_SECONDS)
             self._redistribute()
@@ -72,7 +72,7 @@
             bucket.set_rate(limit, trio.current_time())
 
     def _list_demand(self) -> dict[str, float]:
-        # Only teams in use: facts stay small however many teams are declared.
+        # Only teams with demand, so that facts stay small with many declared teams.
         return {name: round(d, 1) for name, d in self._demand.items() if d >= 0.1}
 
 
--- a/ashpond/controllers/peers.py
+++ b/ashpond/controllers/peers.py
@@ -1,4 +1,4 @@
-"""Answer the questions and take the facts that other instances send."""
+"""The server for other instances' requests and facts."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class PeerServer:
-    """Accepts peers; one that does not know the secret is refused."""
+    """Accepts connections of peers and refuses those without the shared secret."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen for ever."""
+        """Accept and serve connections, forever."""
         address = parse_address(self._settings.peers_address)
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(address.port, host=address.host)
@@ -83,7 +83,7 @@
         except (FrameError, trio.BrokenResourceError, trio.ClosedResourceError):
             return
         finally:
-            # What was on its way may not have arrived, whoever ended the connection.
+            # The last facts may not have arrived, whichever side closed the connection.
             for sender in senders:
                 self._members.table.remove_link(sender)
             await stream.aclose()
@@ -91,7 +91,7 @@
     async def _answer(self, stream: PeerStream, message: PeerMessage) -> None:
         reply = self._build_answer(message)
         if reply is None:
-            raise FrameError("a message that nobody asked for")
+            raise FrameError("an answer without a request")
         before = stream.sent_bytes
         await stream.send(reply)
         self._metrics.peer_bytes.add({}, stream.sent_bytes - before)
