--- a/ashpond/controllers/members.py
+++ b/ashpond/controllers/members.py
@@ -1,4 +1,4 @@
-"""The other instances: facts by gossip, and the platform's list."""
+"""The other instances, by gossip and by the platform's list."""
 
 from __future__ import annotations
 
@@ -37,10 +37,11 @@
 
 
 class MembersController:
-    """Spreads this instance's facts and keeps those of the others.
+    """Spreads the facts of all instances by gossip.
 
-    Other controllers add parts to the own fact with :meth:`contribute`, and
-    read the others' with :meth:`read_parts`.
+    A fact is what one instance reports about itself. Other controllers add parts to it
+    with :meth:`add_fact_part` and read those of other instances with
+    :meth:`read_parts`.
     """
 
     def __init__(self, settings: Settings, platform: PlatformClient, metrics: Metrics):
@@ -49,7 +50,7 @@
         self._metrics = metrics
         self.address = settings.peers_address
         self.table = FactTable(self.address)
-        # The wall clock only has to grow from one start to the next.
+        # The wall clock only has to advance from one start to the next.
         self.epoch = time.time_ns() // 1_000_000
         self.state = MemberState.LIVE
         self.listed: list[Member] = []
@@ -60,7 +61,7 @@
         self._links: dict[str, trio.CancelScope] = {}
 
     def add_fact_part(self, name: str, produce: Callable[[], Any]) -> None:
-        """Add a part to the own fact, made anew in each gossip period."""
+        """Add a part to this instance's fact, produced again in each gossip period."""
         self._parts[name] = produce
 
     def on_fact(self, listener: Callable[[Fact], None]) -> None:
@@ -68,7 +69,7 @@
         self._on_facts.append(listener)
 
     def read_parts(self, name: str) -> dict[str, Any]:
-        """Return one part of the facts of the live others, by origin."""
+        """Return one part of the facts of other live instances, by their address."""
         return {
             fact.origin: fact.body[name]
             for fact in self.list_live()
@@ -76,21 +77,21 @@
         }
 
     def list_live(self) -> list[Fact]:
-        """Return the facts of other instances that live and do not leave."""
+        """Return the facts of other instances that are live and not leaving."""
         others = self.table.list_others(trio.current_time())
         return [f for f in others if f.body.get("state") == MemberState.LIVE]
 
     def count_instances(self) -> int:
-        """Return how many instances share the work, this one included."""
+        """Return how many instances share the load, including this one."""
         return 1 + len(self.list_live())
 
     def announce(self) -> None:
-        """Tell the peers of a change now, not at the next period."""
+        """Send this instance's fact to the peers now, not at the next period."""
         self._wake.set()
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Gossip and read the platform's list for ever."""
+        """Gossip and poll the platform's list, forever."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._refresh_fact)
             nursery.start_soon(self._poll_list)
@@ -103,7 +104,7 @@
                 await self._wake.wait()
 
     def update_own_fact(self) -> None:
-        """Make the own fact anew."""
+        """Replace this instance's fact by one with the present parts."""
         self._sequence += 1
         body = {name: produce() for name, produce in self._parts.items()}
         body |= {"state": str(self.state), "name": self._settings.name}
@@ -119,7 +120,7 @@
             await trio.sleep(pause * random.uniform(0.8, 1.2))
 
     def list_addresses(self) -> list[str]:
-        """Return every peer address that may belong to a live instance."""
+        """Return all peer addresses that may belong to a live instance."""
         addresses = set(self._settings.peers) | {self.address}
         for member in self.listed:
             if member.kind is MemberKind.INSTANCE and not member.leaving:
@@ -150,7 +151,7 @@
                 try:
                     await self._gossip_with(address)
                 except LINK_FAILURES:
-                    # The link is made anew after a pause, and starts from nothing.
+                    # The link is opened again after a pause and resends all facts.
                     pass
                 if trio.current_time() - started_at > MAX_PAUSE_SECONDS:
                     pause = self._settings.timing.gossip
@@ -169,7 +170,7 @@
                 with trio.move_on_after(self._settings.timing.gossip):
                     await self._wake.wait()
         finally:
-            # What was on its way may not have arrived, whoever ended the connection.
+            # The last facts may not have arrived, whichever side closed the connection.
             self.table.remove_link(address)
             await stream.aclose()
 
@@ -183,12 +184,12 @@
             self.take_facts(answer)
 
     def collect_facts(self, link: str) -> Facts:
-        """Return what the peer behind ``link`` has not heard from here."""
+        """Return the facts that have not been sent on ``link`` yet."""
         facts = self.table.collect_updates(link)
         return Facts(self.address, [list(fact) for fact in facts])
 
     def take_facts(self, message: Facts) -> None:
-        """Take in a peer's facts; ones of the wrong form are passed over."""
+        """Add a peer's facts to the table and ignore malformed ones."""
         facts = [fact for item in message.facts if (fact := parse_fact(item))]
         self.table.mark_known(message.sender, facts)
         for fact in facts:
@@ -200,7 +201,7 @@
 
 
 def parse_fact(item: Any) -> Fact | None:
-    """Return the fact that a peer sent, ``None`` if its form is wrong."""
+    """Return the fact that a peer sent, ``None`` if it is malformed."""
     if not isinstance(item, list) or len(item) != len(Fact._fields):
         return None
     origin, epoch, sequence, body = item
--- a/ashpond/controllers/orderlease.py
+++ b/ashpond/controllers/orderlease.py
@@ -1,4 +1,4 @@
-"""Hold the right to give orders to engines: the lease as a row of the store."""
+"""The lease on giving orders to engines, as a row of the store."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 LEASE_TABLE = "ashpond-leases"
 LEASE_KEY = "weights"
 RENDEZVOUS_KEY = 1
-# Without progress for so long, another instance looks at the lease (seconds).
+# After this time without progress, other instances contend for the lease (seconds).
 NO_PROGRESS_SECONDS = 1.8
+# The additional wait of each further rank (seconds).
 RANK_SECONDS = 0.6
-# While one contends, the row is read so often (seconds).
+# How often an instance that contends reads the row (seconds).
 CONTEND_SECONDS = 0.5
 
 
@@ -41,14 +42,18 @@
 def make_lease_key(era: int | None) -> str:
     """Return the key of the lease's row in an era of the store.
 
-    Each era has a row of its own: a write of who has not heard of the store's return,
-    on condition of a version that has been given out again, meets another row.
+    A restore from an older copy begins a new era and may assign a version again. Each
+    era has its own row, so that an instance that does not know of the restore cannot
+    overwrite the new lease by a write conditional on the old version.
     """
     return LEASE_KEY if era is None else f"{LEASE_KEY}/{era}"
 
 
 class OrderLease:
-    """One instance's part in who gives orders; all agree on the order of succession."""
+    """Acquires and renews the lease for one instance.
+
+    Instances contend in an order on which all agree, one rank after the other.
+    """
 
     def __init__(
         self,
@@ -70,7 +75,7 @@
         self._has_read = False
         self._ranked_members: list[str] = []
         self._rank = 0
-        # The rows of earlier eras, which the first write in this one removes.
+        # The keys of earlier eras' rows, which the first write in this era removes.
         self._old_keys: set[str] = set()
         self._knows_restore = False
         store.era.on_change(self._begin_era)
@@ -82,11 +87,11 @@
         self._old_keys.clear()
 
     def note_progress(self) -> None:
-        """Note that some instance is giving orders."""
+        """Record that some instance is giving orders."""
         self._progress_at = trio.current_time()
 
     def find_own_rank(self) -> int:
-        """Return this instance's place in the order in which all contend."""
+        """Return this instance's rank in the order of contention, 0 for the first."""
         members = self._get_members() or [self.lease.holder]
         if members != self._ranked_members:
             self._ranked_members = members
@@ -96,9 +101,9 @@
         return self._rank
 
     async def hold(self, now: float, lag: float) -> None:
-        """Take or renew the lease if it is this instance's turn.
+        """Acquire or renew the lease if it is this instance's turn.
 
-        :param lag: for how long some engine has been behind its target (seconds).
+        :param lag: how long some engine has been behind its target (seconds).
         """
         if not self._may_contend(now, lag):
             return
@@ -127,7 +132,7 @@
             [Row(LEASE_TABLE, key, value, 0), *rows],
         )
         if changes != self._store.era.changes:
-            # A grant of the time before.
+            # The write belongs to the previous era.
             return
         self._old_keys.clear()
         needs_read = self.lease.on_write(write, outcome, sent_at)
@@ -163,8 +168,8 @@
         if not rows:
             self._old_keys = {row.key for row in snapshot.rows}
             if self._old_keys and not self._knows_restore:
-                # The store came back before this instance started; the last holder of
-                # the time before may not know.
+                # The store was restored before this instance started, and the previous
+                # era's holder may not know it yet.
                 self._knows_restore = True
                 self.lease.restart_in_era(era, now)
             self._has_read = True
@@ -177,11 +182,11 @@
         self._log.note("lease_read", holder=row.holder, fence=row.fence, age=age)
 
     def _decode_lease(self, row: Row, store_time: float) -> tuple[LeaseRow, float]:
-        """Return the lease as stored, and the store's time of its last renewal.
+        """Return the stored lease and the store's time of its last renewal.
 
-        One that cannot be read is taken for held by nobody known, and renewed just
-        now. Its fencing number is not known either: the row's version is no less, as
-        each raise of that number was a write to the store.
+        An invalid row counts as renewed just now by an unknown holder. Its fencing
+        number is unknown too; the row's version is used, which is at least as high, as
+        each increase of that number was a write to the store.
         """
         try:
             table = _LEASE_DECODER.decode(row.value or b"")
