--- a/ashpond/decisions/__init__.py
+++ b/ashpond/decisions/__init__.py
@@ -1,3 +1,3 @@
-"""Pure decisions: no I/O, no clock, no logging; the time is an argument."""
+"""Pure decision logic: no I/O, no clock, no logging; the time is an argument."""
 
 from __future__ import annotations
--- a/ashpond/decisions/admission.py
+++ b/ashpond/decisions/admission.py
@@ -1,9 +1,9 @@
-"""Decide which waiting request starts next, and which are refused at once.
+"""Decide which waiting request starts next, and which requests are refused at once.
 
-One queue a service and instance. More urgent classes go first, but each class
-keeps its declared share; within a class, teams share by weight (start-time
-fair queueing over estimated engine seconds). A request that cannot start
-before its deadline is refused when it arrives, with a time to come back.
+Each instance has one queue per service. Higher priority classes go first, but each
+class keeps its declared minimum share. Within a class, teams share by weight
+(start-time fair queueing over estimated engine seconds). A request that cannot start
+before its deadline is refused on arrival, with a Retry-After time.
 """
 
 from __future__ import annotations
@@ -19,11 +19,14 @@
 
 DEFAULT_RUN_SECONDS = 0.3
 SMOOTHING = 0.05
-# How long new work may expect to wait at the best server. Beyond that it waits
-# here, where it can still be refused, or be overtaken by more urgent work.
+# A request is started while the expected wait at the best server is at most this
+# (seconds), for the highest and for other priorities. Otherwise it waits in the queue,
+# where it can still be refused or be overtaken by requests of a higher priority.
 URGENT_MAX_WAIT_SECONDS = 0.6
 MAX_WAIT_SECONDS = 0.3
+# Factor by which each start decays the served cost that minimum shares are based on.
 SHARE_DECAY = 0.98
+# Share of the capacity that is reserved for the highest priority.
 URGENT_RESERVE = 0.2
 MAX_RETRY_SECONDS = 30.0
 MIN_RETRY_SECONDS = 0.1
@@ -31,14 +34,14 @@
 
 
 class PriorityClass(NamedTuple):
-    """How a declared priority takes part in the queue."""
+    """The rank of a priority, 0 first, and the minimum share it is served."""
 
     rank: int
     min_share: float
 
 
 class Ticket(NamedTuple):
-    """One request that asks to start. ``cost`` is in estimated engine seconds."""
+    """A request to be started; ``cost`` is in estimated engine seconds."""
 
     number: int
     team: str
@@ -49,17 +52,17 @@
 
 
 class Admitted(NamedTuple):
-    """The request may start now."""
+    """Outcome: the request may start now."""
 
 
 class Queued(NamedTuple):
-    """The request waits; ``shed`` had to leave the queue to make room."""
+    """Outcome: the request waits; ``shed`` were removed to make room for it."""
 
     shed: tuple[Ticket, ...] = ()
 
 
 class _ClassQueue:
-    """The waiting requests of one priority."""
+    """The waiting requests of one priority class."""
 
     def __init__(self, settings: PriorityClass):
         self.settings = settings
@@ -113,8 +116,8 @@
 class AdmissionQueue:
     """The queue of one service on one instance.
 
-    ``pressure`` is the expected wait at the best server, in seconds; ``servers``
-    is this instance's part of them.
+    ``expected_wait`` is the wait at the best server, in seconds, and
+    ``servers_per_instance`` the number of servers divided by that of instances.
     """
 
     def __init__(self, priorities: dict[str, PriorityClass], max_waiting: int):
@@ -130,7 +133,7 @@
         self.set_priorities(priorities)
 
     def set_priorities(self, priorities: dict[str, PriorityClass]) -> None:
-        """Take over a new set of priorities; waiting requests keep theirs."""
+        """Adopt a set of priorities; waiting requests stay in their class."""
         for name, settings in priorities.items():
             known = self._classes.setdefault(name, _ClassQueue(settings))
             known.settings = settings
@@ -139,11 +142,11 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """The number of waiting requests."""
         return sum(entry.waiting for entry in self._ordered)
 
     def offer(self, ticket: Ticket, now: float) -> Admitted | Queued | Refusal:
-        """Let a request start, wait, or leave at once."""
+        """Admit, queue or refuse a request."""
         own = self._classes[ticket.priority]
         if not self._count_ahead(own) and self._may_start(own):
             self._start(own, ticket)
@@ -158,17 +161,17 @@
                 return self.refuse(ticket, now)
             shed = (lowest.pop_newest(),)
         if not self.waiting:
-            # The pace is that of a busy queue; the quiet before does not count.
+            # Measure the release interval while requests wait, not over idle time.
             self._last_release = now
         own.push(ticket)
         return Queued(shed)
 
     def refuse(self, ticket: Ticket, now: float) -> Refusal:
-        """Return the final answer for a request that will not start."""
+        """Return the refusal of a request, with the time after which to retry."""
         own = self._classes[ticket.priority]
         interval = self._estimate_interval()
         soonest = now + max(MIN_RETRY_SECONDS, self._predict_wait(own))
-        # Each refused caller gets a later slot, or all would return together.
+        # Each refused client gets a later time, so that they do not retry together.
         own.next_retry_at = max(own.next_retry_at, soonest) + interval
         wait = min(own.next_retry_at - now, MAX_RETRY_SECONDS)
         own.next_retry_at = now + wait
@@ -176,7 +179,7 @@
         return Refusal(OVERLOADED_STATUS, "overloaded", text, retry_after=wait)
 
     def release(self, run_seconds: float, now: float) -> None:
-        """Give back the place of a request that ended after ``work_seconds``."""
+        """Free the slot of a request that finished after ``run_seconds``."""
         self.running -= 1
         self.run_seconds += SMOOTHING * (run_seconds - self.run_seconds)
         interval = now - self._last_release
@@ -187,7 +190,7 @@
             self.release_interval = 0.0
 
     def start_ready(self) -> list[Ticket]:
-        """Start as many waiting requests as there are places for."""
+        """Start as many waiting requests as there are free slots."""
         started = []
         while (chosen := self._choose_class()) is not None:
             ticket = chosen.pop()
@@ -196,7 +199,7 @@
         return started
 
     def abandon(self, ticket: Ticket) -> bool:
-        """Take a waiting request out; return whether it still waited."""
+        """Remove a waiting request; return whether it was still waiting."""
         return self._classes[ticket.priority].remove(ticket)
 
     def _start(self, own: _ClassQueue, ticket: Ticket) -> None:
@@ -222,7 +225,7 @@
             return None
         total = sum(entry.served for entry in self._ordered)
         for entry in self._ordered[1:]:
-            # What is due to a class is not held back by the urgent reserve.
+            # A class below its minimum share may use the urgent reserve.
             if entry.waiting and entry.served < entry.settings.min_share * total:
                 return entry
         ready = [c for c in self._ordered if c.waiting and self._may_start(c)]
@@ -241,10 +244,10 @@
         return free_at + self._count_ahead(own) * interval
 
     def _estimate_interval(self) -> float:
-        """Return the seconds between two starts while requests wait."""
+        """Return the expected seconds between two starts while requests wait."""
         return max(self.release_interval, self.run_seconds / self.capacity)
 
 
 def compute_capacity(limits: Iterable[int], instances: int) -> int:
-    """Return one instance's part of the places that all engines offer."""
+    """Return one instance's part of the slots of all servers."""
     return max(1, math.ceil(sum(limits) / max(1, instances)))
--- a/ashpond/decisions/allowances.py
+++ b/ashpond/decisions/allowances.py
@@ -1,14 +1,14 @@
-"""Keep the use of all instances together within a limit: a team's, or a server's.
+"""Enforce the limit of a team or a backend server over all instances together.
 
-Time is what is shared out: in each second each instance earns one N-th of a second's
-allowance of every team, N being the number of instances. It hands that time to the
-instance that it takes for the keeper of a team, and asks it before each request. What
-is granted anywhere was earned before, once, and lapses with its age. So the limit holds
-whomever an instance takes for the keeper, whatever is cut off, ends, or begins anew;
-what goes wrong makes the allowance smaller, never larger.
+With N instances, each accrues 1/N of a second's allowance of every team per second. It
+transfers this time to the instance that it assumes to be the team's coordinator, and
+asks that instance before each request. Any allowance that is granted was accrued
+before, exactly once, and expires with age. The limit therefore holds whichever
+instance is assumed to be the coordinator, and under partitions, crashes and restarts:
+a fault makes the allowance smaller, never larger.
 
-It answers a load of long prompts at many instances, where a part of the limit for each
-instance would not hold one of them, and a team that sends many times its usual.
+With many instances, a fixed part of the limit each would be smaller than one long
+prompt, and could not follow a team that sends many times its usual load.
 """
 
 from __future__ import annotations
@@ -41,51 +41,52 @@
 from ashpond.decisions.fleetlinks import Member
 from ashpond.decisions.placement import rank_by_rendezvous
 
-# What was granted and not used is given back within this (seconds).
+# An unused grant is refunded within this time (seconds).
 REFUND_SECONDS = 0.25
-# Earned time is kept by steps of this length (seconds).
+# Accrued time is recorded in steps of this length (seconds).
 STEP_SECONDS = 0.125
-# What is given back, and a step that has begun, count in one more window than theirs.
+# Refunds and partly elapsed steps may count in a window that begins up to this later.
 MARGIN_SECONDS = REFUND_SECONDS + STEP_SECONDS
-# A team can always save up what it earns in this time, so that a long prompt fits
-# (seconds). Where the bound leaves no room for that, it earns more slowly.
+# Allowance is retained for at least this time, so that a team can save up for a long
+# prompt (seconds). Where the bound is too tight for that, the accrual rate is lowered.
 MIN_RETENTION_SECONDS = 1.0
-# Nothing is saved for longer (seconds).
 MAX_RETENTION_SECONDS = 600.0
-# Time that could not be handed over is kept for so long (seconds).
+# Accrued time that could not be transferred is kept for this long (seconds).
 MAX_PENDING_SECONDS = 1.0
-# A team that asks for twice what it earns: below this share of what it can save, its
-# requests are refused at random, the more the less there is, so that long ones find
-# room beside short ones; the most urgent are refused last.
+# If a team's demand is twice its accrual rate, its requests are denied at random while
+# less than this share of its capacity remains, with a probability that rises as the
+# remainder falls. Without this, short requests would use up what long ones need. One
+# share per priority, the highest priority first: it is denied last.
 EARLY_DENIAL_SHARES = (0.2, 0.3, 0.4)
-# What a team asks for is averaged over about so long (seconds).
+# Time constant of the average of a team's demand (seconds).
 DEMAND_AVERAGE_SECONDS = 2.0
-# A request of this share of what a team can save, and larger ones, have two thirds of
-# the chance of the smallest: more callers are served, and long prompts not starved.
+# Below the denial threshold, requests that cost at least this share of the capacity
+# have two thirds of the smallest ones' chance: more callers are served, and long
+# prompts are not starved.
 LARGE_REQUEST_SHARE = 0.05
-# A client that comes back sooner finds nothing more (seconds).
+# A retry before this time would find no more allowance (seconds).
 MIN_RETRY_SECONDS = 0.05
-# A keeper that gets hardly any of the fleet's time plans returns as with this share.
+# Retries are planned as if a coordinator received at least this share of the time.
 MIN_PLANNED_SHARE = 0.05
-# One keeper's share of the fleet (instances).
+# There is one hash slot, and so one coordinator, for this many instances.
 INSTANCES_PER_HASH_SLOT = 100
-# So many instances, of as many failure domains as possible, may be a slot's keeper.
+# Candidates for coordinator of a hash slot, from as many failure domains as possible.
 COORDINATOR_CANDIDATES = 4
 
 
 class AllowanceUnit(StrEnum):
-    """What a limit counts."""
+    """The unit that a limit counts."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
-    # What all teams together may send to one backend server.
+    # Requests of all teams together to one backend server.
     SERVER_REQUESTS = "server_requests"
 
 
 class Allowance(NamedTuple):
-    """A team's limit: ``rate`` a second and a ``burst`` besides, in ``unit``.
+    """A limit of ``rate`` per second and an additional ``burst``, in ``unit``.
 
-    A request that does not tell its tokens counts as ``untold_tokens``.
+    A request that does not state its token count is charged ``untold_tokens``.
     """
 
     rate: float
@@ -95,10 +96,10 @@
 
 
 class AllowanceBounds(NamedTuple):
-    """How exactly limits are to be kept.
+    """The tolerance within which limits are enforced.
 
-    In any ``window`` (seconds) a team may use what its limit allows, the ``overage``
-    of it (a share), and ``slack`` besides (in the limit's unit).
+    In any ``window`` (seconds) a team may use its limit, plus ``overage`` as a share
+    of the limit, plus ``slack`` in the limit's unit.
     """
 
     window: float = 8.0
@@ -107,29 +108,30 @@
 
 
 class Accrual(NamedTuple):
-    """What a team earns in a second, and for how long it saves that (seconds)."""
+    """The allowance a team accrues per second, and how long it is retained."""
 
     rate: float
     retention_seconds: float
 
 
 class TimeSpan(NamedTuple):
-    """Time that an instance has earned, from and to a moment (seconds)."""
+    """A span of accrued time; both ends are clock readings in seconds."""
 
     begin: float
     end: float
 
 
 class Granted(NamedTuple):
-    """A request may run, at this cost in the limit's unit."""
+    """Permission to run a request, at a cost in the limit's unit."""
 
     cost: float
 
 
 class Denied(NamedTuple):
-    """A request may not run; ``retry_after`` is None if a repeat never may.
+    """Denial of a request; ``retry_after`` is None if no retry can succeed.
 
-    ``left`` is what the keeper had, ``share`` the part of all time that it gets.
+    ``remaining`` is the team's allowance at the coordinator, ``share`` the share of
+    the fleet's time that the coordinator receives.
     """
 
     retry_after: float | None
@@ -138,9 +140,9 @@
 
 
 def measure_cost(allowance: Allowance, tokens: int | None) -> int:
-    """Return what one run of a request counts.
+    """Return the cost of one attempt of a request, in the limit's unit.
 
-    :param tokens: those that it told, None if it told none.
+    :param tokens: the token count that the request states, None if it states none.
     """
     if allowance.unit is not AllowanceUnit.TOKENS:
         return 1
@@ -148,12 +150,11 @@
 
 
 def plan_accrual(allowance: Allowance, bounds: AllowanceBounds) -> Accrual:
-    """Return how a team earns and saves so that no window holds more than its bound.
+    """Return the accrual that keeps the use in every window within its bound.
 
-    What is granted in a window was earned in it, or saved up before, or was on its way
-    back when it began. A team that asks for too much all the time gets what its limit
-    allows for a window, window after window; what may be used beyond the limit leaves
-    room for what it saves.
+    Allowance granted in a window was accrued in it, retained from before, or was being
+    refunded when the window began. A team whose demand always exceeds its limit gets
+    its limit in each window; overage and slack make room for what it retains.
     """
     limit = allowance.rate * bounds.window + allowance.burst
     bound = limit * (1 + bounds.overage) + bounds.slack
@@ -164,20 +165,21 @@
 
 
 def count_hash_slots(instances: int) -> int:
-    """Return among how many keepers the teams are shared out."""
+    """Return the number of hash slots that teams are distributed over."""
     return max(1, math.ceil(instances / INSTANCES_PER_HASH_SLOT))
 
 
 def find_hash_slot(team: str, hash_slots: int) -> int:
-    """Return the slot whose keeper has a team's account."""
+    """Return the hash slot of a team; its coordinator has the team's account."""
     return xxhash.xxh3_64_intdigest(team.encode()) % hash_slots
 
 
 def rank_coordinators(hash_slot: int, members: Mapping[str, Member]) -> list[Member]:
-    """Return who may be the keeper of a slot, the first choice first.
+    """Return the candidates for coordinator of a hash slot, the first choice first.
 
-    All instances come to the same order, widest links first; the candidates are of
-    different failure domains, so that one is reached when a domain is cut off.
+    The order is the same at all instances, the links with most bandwidth first. The
+    candidates are in different failure domains where possible, so that one stays
+    reachable when a domain is cut off.
     """
     ranked = [members[name] for name in rank_by_rendezvous(hash_slot, list(members))]
     ranked.sort(key=lambda member: -member.link_mbps)
@@ -194,9 +196,9 @@
 def _compute_grant_threshold(
     accrual: Accrual, demand_ratio: float, cost: float, priority: int
 ) -> float:
-    """Return what has to be left for a request to be granted for certain.
+    """Return the remaining allowance from which a request is always granted.
 
-    :param pressure: what the team asks for, as a share of what it earns.
+    :param demand_ratio: the team's demand, as a multiple of its accrual rate.
     """
     capacity = accrual.rate * accrual.retention_seconds
     threshold = (
@@ -207,16 +209,17 @@
 
 
 class AccruedTime:
-    """The time that one instance has earned and not handed over.
+    """The time that one instance has accrued and not yet transferred.
 
-    :param now: when it started; an earlier life of it has earned what was before.
+    :param now: when the instance started; time before it was accrued by its previous
+        incarnation.
     """
 
     def __init__(self, now: float):
         self._taken_until = now
 
     def take(self, now: float) -> TimeSpan | None:
-        """Return what has been earned since the last call, None if hardly anything."""
+        """Return the time accrued since the last call, None if there is none."""
         begin = max(self._taken_until, now - MAX_PENDING_SECONDS)
         if now <= begin:
             return None
@@ -225,7 +228,7 @@
 
 
 class _Account:
-    """What one team has left at a keeper."""
+    """The allowance and the demand of one team at a coordinator."""
 
     def __init__(self) -> None:
         self.remaining = float("inf")
@@ -236,7 +239,7 @@
         self.accrual: Accrual | None = None
 
     def add_demand(self, cost: float, now: float) -> float:
-        """Take what is asked for; return how much is in a second of late."""
+        """Add a request's cost; return the recent average demand per second."""
         self.demand *= math.exp((self.demand_at - now) / DEMAND_AVERAGE_SECONDS)
         self.demand += cost
         self.demand_at = now
@@ -244,7 +247,7 @@
 
 
 class Ledger:
-    """The accounts of the teams of one slot, at an instance that is their keeper.
+    """The accounts of the teams of one hash slot, at an instance that coordinates it.
 
     Times are on this instance's clock.
     """
@@ -256,13 +259,13 @@
 
     @property
     def account_count(self) -> int:
-        """How many teams have an account."""
+        """The number of teams that have an account."""
         return len(self._accounts)
 
     def receive(self, span: TimeSpan, share: float, now: float) -> None:
-        """Take time that an instance has earned, which is ``share`` of the fleet.
+        """Credit time accrued by an instance, which is ``share`` of the fleet.
 
-        What was earned long ago may have lapsed on its way.
+        Time older than :data:`MAX_PENDING_SECONDS` has expired and is not credited.
         """
         begin = max(span.begin, now - MAX_PENDING_SECONDS)
         end = min(span.end, now)
@@ -288,7 +291,7 @@
         self._steps.extend(reversed(later))
 
     def sum_received(self, seconds: float, now: float) -> float:
-        """Return how much of the fleet's time of the last ``seconds`` has come here."""
+        """Return how much of the fleet's time of the last ``seconds`` was received."""
         oldest = (now - seconds) / STEP_SECONDS
         total = 0.0
         for step, accrued in reversed(self._steps):
@@ -300,7 +303,7 @@
     def get_remaining(
         self, team: str, allowance: Allowance, accrual: Accrual, now: float
     ) -> float:
-        """Return what a team has left."""
+        """Return the remaining allowance of a team."""
         return self._update_account(team, allowance.unit, accrual, now).remaining
 
     def _update_account(
@@ -329,11 +332,11 @@
         draw: float,
         now: float,
     ) -> Granted | Denied:
-        """Grant a request what it costs, or say when to come back.
+        """Charge a request to its team's account, or deny it.
 
-        :param urgency: 0 is the most urgent.
-        :param patience: how long its client will wait (seconds).
-        :param draw: a random number from 0 to 1.
+        :param priority: 0 is the highest.
+        :param timeout: how long the client waits (seconds).
+        :param draw: a random number from 0 to 1, which decides on random denials.
         """
         account = self._update_account(team, allowance.unit, accrual, now)
         share = self.compute_received_share(now)
@@ -348,14 +351,14 @@
     def refund(
         self, team: str, allowance: Allowance, accrual: Accrual, cost: float, now: float
     ) -> None:
-        """Take back a grant that was not used, soon after it was made."""
+        """Credit a grant that was not used, within :data:`REFUND_SECONDS` of it."""
         account = self._update_account(team, allowance.unit, accrual, now)
         account.remaining = min(
             account.remaining + cost, self._compute_capacity(accrual, now)
         )
 
     def compute_received_share(self, now: float) -> float:
-        """Return the part of the fleet's time that comes here at present."""
+        """Return the share of the fleet's recent time that was received here."""
         seconds = MAX_PENDING_SECONDS + STEP_SECONDS
         return min(1.0, self.sum_received(seconds, now) / seconds)
 
@@ -368,9 +371,10 @@
         timeout: float,
         now: float,
     ) -> float | None:
-        """Return when a request that was refused may come back.
+        """Return the seconds after which a denied request should be retried.
 
-        Each one that will gets a time of its own, after those told before it.
+        Each client that waits long enough gets a time of its own, after the times
+        given to earlier ones, so that they do not all retry together.
         """
         if cost > accrual.rate * accrual.retention_seconds:
             return None
@@ -383,7 +387,7 @@
         return retry_after
 
     def remove_full_accounts(self, now: float) -> None:
-        """Forget the accounts that are full, as new ones are."""
+        """Remove accounts that are full: a new account starts out full as well."""
         for key, account in list(self._accounts.items()):
             assert account.accrual is not None
             self._update_account(*key, account.accrual, now)
@@ -392,5 +396,5 @@
                 del self._accounts[key]
 
     def _compute_capacity(self, accrual: Accrual, now: float) -> float:
-        """Return the most that a team may have left here."""
+        """Return the upper limit of a team's remaining allowance here."""
         return self.sum_received(accrual.retention_seconds, now) * accrual.rate
--- a/ashpond/decisions/burn.py
+++ b/ashpond/decisions/burn.py
@@ -1,4 +1,4 @@
-"""Work out how fast each service uses up its error budget."""
+"""Compute how fast each service consumes its error budget."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class BurnWindow(NamedTuple):
-    """A span of time that burn is measured over."""
+    """A time window that the burn rate is measured over."""
 
     label: str
     seconds: int
@@ -38,20 +38,20 @@
     BurnWindow("6h", 6 * HOUR),
     BurnWindow("3d", 3 * DAY),
 )
-# A page needs both windows of a pair over the threshold: the long one shows
-# that it matters, the short one that it still goes on.
+# A page requires the burn rate of both windows to reach the threshold: the long window
+# shows that the burn is significant, the short one that it is still happening.
 PAGE_RULES = (("5m", "1h", 14.4), ("1h", "6h", 6.0), ("6h", "3d", 1.0))
 
 
 class Counts(NamedTuple):
-    """Requests of one service and team in one bucket of time."""
+    """Request counts of one service and team in one bucket of time."""
 
     total: int = 0
     answered: int = 0
     in_time: int = 0
 
     def plus(self, other: Counts) -> Counts:
-        """Return the sum."""
+        """Return the sum of both counts."""
         return Counts(
             self.total + other.total,
             self.answered + other.answered,
@@ -60,7 +60,7 @@
 
 
 class BurnRow(NamedTuple):
-    """The burn of one objective; rates are multiples of what the budget allows."""
+    """The burn of one objective; rates are multiples of the rate the budget allows."""
 
     service: str
     team: str
@@ -83,10 +83,10 @@
 def coarsen_counts(
     buckets: Mapping[BucketKey, Counts], newest: int
 ) -> dict[BucketKey, Counts]:
-    """Return the buckets with those beyond the third window added up by hours.
+    """Return the buckets with those older than the third window merged by the hour.
 
-    Only the longest window reaches so far back, and an hour is fine enough for
-    it; without this an instance would write out every minute of three days.
+    Only the longest window reaches further back, and hours are fine enough for it.
+    Without this, an instance would send one bucket for each minute of three days.
     """
     fine_from = newest - WINDOWS[-2].seconds // BUCKET_SECONDS - BUCKETS_PER_HOUR
     coarse: dict[BucketKey, Counts] = {}
@@ -101,7 +101,7 @@
 def merge_counts(
     parts: Iterable[Mapping[BucketKey, Counts]],
 ) -> dict[BucketKey, Counts]:
-    """Add up the buckets of several instances, each told once."""
+    """Sum the buckets of several instances; each instance must appear only once."""
     merged: dict[BucketKey, Counts] = {}
     for part in parts:
         for key, counts in part.items():
@@ -114,10 +114,10 @@
     targets: Mapping[str, Mapping[str, float]],
     now: float,
 ) -> list[BurnRow]:
-    """Return the burn of each service, team and objective, worst first.
+    """Return the burn of each service, team and objective, the worst first.
 
-    :param targets: for each service, each objective's share that must be good.
-    :param now: wall clock, in seconds, that the buckets' numbers count from.
+    :param targets: for each service and objective, the required share of good requests.
+    :param now: wall clock time (seconds), as used for the bucket numbers.
     """
     rows = []
     pairs = sorted({(service, team) for service, team, _ in buckets})
--- a/ashpond/decisions/claims.py
+++ b/ashpond/decisions/claims.py
@@ -1,14 +1,14 @@
 """Run a request with an idempotency key at most once over all instances.
 
-Before dispatch, an instance inserts a claim row, on condition that none stands
-there. Only an instance that has *seen* its own attempt id in the row may
-dispatch, and each attempt is dispatched at most once. A claim is never taken
-over by time: only after its owner has said that its attempt was never sent and
-never will be. If the owner cannot say so, the outcome is unknown.
-
-:class:`ClaimProtocol` is the protocol of one attempt, without I/O: it yields
-commands and is told their outcomes. :class:`AttemptRegistry` is the owner's
-memory, which answers the questions of other instances.
+Before dispatch, an instance inserts a claim row on condition that there is none. Only
+an instance that has *seen* its own attempt id in the row may dispatch, and each attempt
+is dispatched at most once. A claim never expires into another instance's hands: it is
+taken over only after its owner has reported that its attempt was not sent and never
+will be. If the owner cannot confirm that, the outcome is unknown.
+
+:class:`ClaimProtocol` is the state machine of one attempt, without I/O: it returns
+commands and receives their outcomes. :class:`AttemptRegistry` records an owner's
+attempts, so that it can answer other instances.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class AttemptState(StrEnum):
-    """What the owner of an attempt says of it."""
+    """The state of an attempt, as reported by its owner."""
 
     NEVER = "never"
     SENT = "sent"
@@ -59,8 +59,8 @@
 class ClaimRow(NamedTuple):
     """The stored claim.
 
-    ``answer`` is the finished answer, packed, or empty. ``released`` is set by
-    the owner once its attempt has certainly not run.
+    ``answer`` is the complete answer, encoded, or empty. ``released`` is set by the
+    owner once it is certain that its attempt has not run.
     """
 
     attempt: str
@@ -71,46 +71,46 @@
 
 
 class VersionedClaim(NamedTuple):
-    """A claim row as read, with the version that a replacement must name."""
+    """A claim row as read, with the version that a replacement has to match."""
 
     row: ClaimRow
     version: int
 
 
 class InsertClaim(NamedTuple):
-    """Insert the row on condition that no row stands there."""
+    """Command: insert the row on condition that there is none."""
 
     row: ClaimRow
 
 
 class ReadClaim(NamedTuple):
-    """Read the row that stands there."""
+    """Command: read the current row."""
 
 
 class ReplaceClaim(NamedTuple):
-    """Replace the row on condition that it still has ``version``."""
+    """Command: replace the row on condition that it still has ``version``."""
 
     row: ClaimRow
     version: int
 
 
 class AskOwner(NamedTuple):
-    """Ask the owner of ``attempt`` whether it was or will be sent."""
+    """Command: ask the owner of ``attempt`` whether it was or will be sent."""
 
     attempt: str
 
 
 class Dispatch(NamedTuple):
-    """Verdict: this attempt, and no other one, may be sent.
+    """Result: this attempt, and no other one, may be sent.
 
-    ``version`` is that of the claim row, to finish or release it by.
+    ``version`` is that of the claim row, needed to finish or release the claim.
     """
 
     version: int
 
 
 class Replay(NamedTuple):
-    """Verdict: the request has run; give the caller the stored answer."""
+    """Result: the request has run; the client gets the stored answer."""
 
     answer: bytes
 
@@ -120,18 +120,18 @@
 
 
 def make_attempt_id(owner: str, incarnation: str, number: int) -> str:
-    """Return the id of an instance's attempt; ``owner`` is its peer address."""
+    """Return the id of an attempt; ``owner`` is the peer address of its instance."""
     return f"{owner}/{incarnation}/{number}"
 
 
 def split_attempt_id(attempt: str) -> tuple[str, str, int]:
-    """Return owner, incarnation and number of an attempt id."""
+    """Return the owner, the incarnation and the number in an attempt id."""
     owner, incarnation, number = attempt.rsplit("/", 2)
     return owner, incarnation, int(number)
 
 
 class ClaimProtocol:
-    """Decides the next step of one attempt from the outcome of the last one."""
+    """The state machine of one attempt: decides each step from the last outcome."""
 
     def __init__(self, attempt: str, request_digest: str):
         self.own = ClaimRow(attempt, request_digest)
@@ -143,19 +143,19 @@
         return InsertClaim(self.own)
 
     def on_write(self, outcome: StoreOutcome) -> Command | ClaimResult:
-        """Take the outcome of an insert or a replacement."""
+        """Process the outcome of an insert or a replacement."""
         self._steps += 1
         if isinstance(outcome, Done):
             return Dispatch(outcome.value)
         if isinstance(outcome, Unavailable):
             return make_store_down_refusal()
-        # After a lost answer only the row itself can tell who has the claim.
+        # If the answer was lost, only the row itself shows which attempt has the claim.
         return ReadClaim()
 
     def on_read(
         self, outcome: VersionedClaim | None | Unavailable | Unknown
     ) -> Command | ClaimResult:
-        """Take the row that was read, ``None`` if there is none."""
+        """Process the row that was read, ``None`` if there is none."""
         self._steps += 1
         if self._steps > MAX_STEPS or isinstance(outcome, Unavailable | Unknown):
             return make_store_down_refusal()
@@ -174,7 +174,7 @@
         return AskOwner(outcome.row.attempt)
 
     def on_owner_state(self, state: AttemptState) -> Command | ClaimResult:
-        """Take what the owner of the standing claim says."""
+        """Process the state of the other claim's attempt, reported by its owner."""
         self._steps += 1
         if state is AttemptState.NEVER and self._other_claim is not None:
             return ReplaceClaim(self.own, self._other_claim.version)
@@ -190,7 +190,7 @@
 
 
 def make_store_down_refusal() -> Refusal:
-    """Return the refusal of a request whose claim could not be made sure."""
+    """Return the refusal of a request whose claim could not be confirmed."""
     return Refusal(
         STORE_DOWN_STATUS,
         "store_unavailable",
@@ -202,8 +202,8 @@
 class AttemptRegistry:
     """The attempts of one incarnation of an instance.
 
-    An attempt is *pending* until it is sent or given up. To answer "never" for
-    a pending attempt is to revoke it: :meth:`mark_sent` then says no.
+    An attempt is *pending* until it is sent or given up. Reporting ``NEVER`` for a
+    pending attempt revokes it: :meth:`mark_sent` then returns False.
     """
 
     def __init__(self, owner: str, incarnation: str):
@@ -222,7 +222,7 @@
         return attempt
 
     def mark_sent(self, attempt: str) -> bool:
-        """Record, before any byte leaves, that the attempt is sent.
+        """Record that the attempt is sent, before any byte of it is.
 
         :returns: False if the attempt was revoked and must not be sent.
         """
@@ -241,11 +241,11 @@
         self._pending.discard(attempt)
 
     def remove(self, attempt: str) -> None:
-        """Drop a sent attempt that did not run, or whose row says that it did."""
+        """Remove a sent attempt that did not run, or whose row records that it did."""
         self._sent.pop(attempt, None)
 
     def get_state_or_revoke(self, attempt: str) -> AttemptState:
-        """Answer another instance; an attempt not sent by now never will be."""
+        """Return an attempt's state; one that is not sent yet is revoked by this."""
         owner, incarnation, number = split_attempt_id(attempt)
         if (owner, incarnation) != (self.owner, self.incarnation):
             return AttemptState.UNKNOWN
--- a/ashpond/decisions/declared.py
+++ b/ashpond/decisions/declared.py
@@ -1,4 +1,4 @@
-"""What operators declare for routed calls: routes, services, teams, limits."""
+"""The configuration of routed calls: routes, services, teams and limits."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done again with a request of a route."""
+    """Whether and how a request of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -35,18 +35,18 @@
 
 
 class ServiceShare(NamedTuple):
-    """One service of a route, and its part of the route's requests."""
+    """One service of a route, and its weight among the route's requests."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """How the requests under one path prefix of one host are handled.
+    """The handling of requests under one path prefix of one host.
 
-    Times are in seconds. ``objective`` is the time to the answer, for a stream
-    to its first event, that counts as in time. ``priority`` 0 is the highest.
-    ``is_open`` routes need no API key. Streams of ``is_resumable`` routes may be
+    Times are in seconds. ``objective`` is the latency target: the time to the answer,
+    or to the first event of a stream. ``priority`` 0 is the highest.
+    ``is_anonymous`` routes need no API key. Streams of ``is_resumable`` routes may be
     continued by another backend server.
     """
 
@@ -64,12 +64,12 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether requests may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT
 
 
 class EngineTraits(NamedTuple):
-    """What the engines of a service have in common; sizes are in tokens."""
+    """The common properties of a service's engines; sizes are in tokens."""
 
     slots: int
     cache_tokens: int
@@ -77,16 +77,17 @@
 
 
 class CacheStore(NamedTuple):
-    """A store of cached prompt parts, which engines save to and fetch from."""
+    """A store of cached prompt parts that engines write to and read from."""
 
     address: str
     failure_domain: str
 
 
 class Service(NamedTuple):
-    """A group of equal backend servers; ``engine`` is None for a plain one.
+    """A group of interchangeable backend servers.
 
-    A service with a ``cache_store`` gets no requests.
+    ``engine`` is None if they run no model. A service with a ``cache_store`` gets no
+    requests.
     """
 
     name: str
@@ -96,9 +97,10 @@
 
 
 class Team(NamedTuple):
-    """A team; its ``priority``, if set, goes before that of the route.
+    """A team; its ``priority``, if set, overrides that of the route.
 
-    Without an ``allowance`` its use has no limit.
+    A team without an ``allowance`` has no limit. The cached prompt parts of an
+    ``is_isolated`` team are not shared with other teams.
     """
 
     name: str
@@ -108,7 +110,7 @@
 
 
 class IngressLimits(NamedTuple):
-    """What a client may send, in bytes, and how long it may take, in seconds."""
+    """Limits on client requests: sizes in bytes, timeouts in seconds."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 << 20
@@ -117,7 +119,7 @@
 
 
 class Declaration(NamedTuple):
-    """One accepted configuration, as a whole."""
+    """One accepted configuration."""
 
     version: int
     routes_by_host: Mapping[str, tuple[Route, ...]]
@@ -128,13 +130,13 @@
 
     @property
     def cache_stores(self) -> tuple[CacheStore, ...]:
-        """The stores of cached prompt parts, in a fixed order."""
+        """The stores of cached prompt parts, ordered by the names of their services."""
         services = sorted(self.services.values(), key=lambda service: service.name)
         return tuple(s.cache_store for s in services if s.cache_store is not None)
 
 
 class WeightTarget(NamedTuple):
-    """The version of a model's weights that engines are to serve."""
+    """The version of a model's weights that engines should serve."""
 
     model: str
     version: int
@@ -152,7 +154,7 @@
 
 
 def find_route(declaration: Declaration, host: str, path: str) -> Route | None:
-    """Return the route of ``host`` with the longest prefix that begins ``path``."""
+    """Return the route of ``host`` with the longest prefix of ``path``, if any."""
     name = host.rpartition(":")[0] if ":" in host else host
     for route in declaration.routes_by_host.get(name.lower(), ()):
         if path.startswith(route.prefix):
@@ -161,7 +163,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Choose one of the route's services by their weights."""
+    """Choose one of a route's services at random, by their weights."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
--- a/ashpond/decisions/fleetlinks.py
+++ b/ashpond/decisions/fleetlinks.py
@@ -1,10 +1,10 @@
-"""Whom an instance tells its news: everyone, or the hub of its group.
+"""Choose the peers that an instance sends its updates to: all, or its group's hub.
 
-Among few instances each tells all others. Among many they form groups of one failure
-domain. The members of a group tell its hub, hubs tell each other, and a hub tells its
-members the sum: three steps at most, and a number of links an instance that grows
-with the square root of the fleet, at hubs only. The hub is the first of the group's
-candidates that answers; the next one stands by.
+In a small fleet each instance sends to all others. In a large one, instances form
+groups within a failure domain. Members send to the hub of their group, hubs to each
+other, and a hub sends the totals to its members. An update takes at most three hops,
+and only hubs have many links: about the square root of the number of instances. The
+hub is the first candidate of the group that is reachable; the next one is on standby.
 """
 
 from __future__ import annotations
@@ -19,19 +19,20 @@
 
 from ashpond.decisions.placement import rank_by_rendezvous
 
-# Up to this many instances a full mesh costs less than a hub's detour (instances).
+# Up to this many instances, a full mesh costs less than the extra hops through hubs.
 MAX_MESH_MEMBERS = 12
-# Candidates that each member of a group is linked to: the hub and its stand-by.
+# Hub candidates that each member of a group is linked to: the hub and its standby.
 HUB_CANDIDATES = 2
-# Groups whose hubs ask the store for all; the second saves the wait when one fails.
+# Groups whose hubs read the store for the whole fleet. With two of them, a failure of
+# one causes no wait.
 READER_GROUPS = 2
 READERS_KEY = 2
 
 
 class Member(NamedTuple):
-    """An instance as its row in the members' table describes it.
+    """An instance as described by its row in the members table.
 
-    ``link_mbps`` is what its network link carries, 0 if that is not known.
+    ``link_mbps`` is the bandwidth of its network link, 0 if unknown.
     """
 
     name: str
@@ -43,14 +44,14 @@
 class Links(NamedTuple):
     """The peers of one instance.
 
-    :param equals: those that it tells its own work, in a flat fleet.
-    :param hubs: the candidates for the hub of its group that go before it, the first
-        choice first; none if it is the first choice itself.
-    :param other_hubs: the candidates of the other groups, the first choice of each
-        first; told while this instance acts as the hub of its own.
-    :param group: the name of its group, empty in a flat fleet.
-    :param is_candidate: whether it may be the hub of its group.
-    :param is_reader: whether the hub of its group asks the store for the whole fleet.
+    :param mesh_peers: all other instances in a full mesh, which receive its own load.
+    :param preferred_hubs: the hub candidates of its group that rank before it, the
+        first choice first; none if it is the first choice itself.
+    :param other_hubs: the hub candidates of each other group, the first choice first;
+        updates are sent to them while this instance is the hub of its own group.
+    :param group: the name of its group, empty in a full mesh.
+    :param is_candidate: whether it may become the hub of its group.
+    :param is_reader: whether the hub of its group reads the store for the whole fleet.
     """
 
     mesh_peers: tuple[Member, ...] = ()
@@ -62,7 +63,7 @@
 
 
 def list_names(members: tuple[Member, ...]) -> list[str]:
-    """Return the names of members, in their order."""
+    """Return the names of members, in the same order."""
     return [member.name for member in members]
 
 
@@ -71,7 +72,7 @@
 ) -> Links:
     """Return the links of the instance called ``name``.
 
-    :param mesh_limit: up to so many members, each tells all others.
+    :param mesh_limit: the number of members up to which they form a full mesh.
     """
     if len(members) <= mesh_limit or name not in members:
         return Links(mesh_peers=tuple(m for m in members.values() if m.name != name))
@@ -81,7 +82,7 @@
     other_hubs: list[tuple[Member, ...]] = []
     for key, names in sorted(groups.items()):
         ranked = rank_by_rendezvous(xxhash.xxh3_64_intdigest(key.encode()), names)
-        # A hub sends ten times as much as a member: the widest links go first.
+        # A hub sends ten times as much as a member: prefer links with high bandwidth.
         ranked.sort(key=lambda name: -members[name].link_mbps)
         first = [members[n] for n in ranked[:HUB_CANDIDATES]]
         if name in names:
@@ -96,10 +97,10 @@
 
 
 def _assign_groups(members: Mapping[str, Member]) -> dict[str, list[str]]:
-    """Split each failure domain into groups of about the fleet's square root.
+    """Split each failure domain into groups of about the square root of the fleet.
 
-    The instances with the widest links are dealt out evenly: a group without one has a
-    hub whose link its news fill, so that its members hear of everything seconds late.
+    Instances with high bandwidth are distributed evenly. In a group without one, the
+    updates saturate the hub's link, and members receive them seconds late.
     """
     size = math.sqrt(len(members))
     domains: dict[str, list[Member]] = {}
@@ -119,7 +120,7 @@
 
 
 def _rank_high_bandwidth(domain: str, members: list[Member]) -> list[str]:
-    """Return those with wider links than most of a failure domain, in a fixed order."""
+    """Return the members with more than the median bandwidth, in a fixed order."""
     bandwidths = sorted(member.link_mbps for member in members)
     median = bandwidths[len(bandwidths) // 2]
     high = [member.name for member in members if member.link_mbps > median]
@@ -127,7 +128,7 @@
 
 
 def _find_group(domain: str, name: str, count: int) -> str:
-    """Return the group of an instance; few change theirs when ``count`` does."""
+    """Return the group of an instance; few instances move if ``count`` changes."""
     labels = [f"{domain}/{number}" for number in range(count)]
     key = xxhash.xxh3_64_intdigest(name.encode())
     return rank_by_rendezvous(key, labels)[0]
--- a/ashpond/decisions/generations.py
+++ b/ashpond/decisions/generations.py
@@ -1,4 +1,4 @@
-"""Order configurations: one head row, contents that never change, no way back."""
+"""Order configurations by generation: one head row, immutable contents, no rollback."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 class Head(NamedTuple):
     """The accepted configuration: a generation and the digest of each file.
 
-    ``applies`` maps the ids of the latest applies to their generations, so
-    that an operator whose answer was lost can be told.
+    ``applies`` maps the ids of recent applies to their generations, so that a retry by
+    an operator whose answer was lost returns the same generation.
     """
 
     generation: int = 0
@@ -30,10 +30,10 @@
 
 
 class ApplyRequest(NamedTuple):
-    """An operator's change: files by name and digest, ``None`` to remove one.
+    """An operator's change: the digest of each file by name, ``None`` to remove it.
 
-    ``base`` is the generation that the operator had before them, ``None`` for
-    whichever is in force.
+    ``base`` is the generation that the change was made from, ``None`` for the one in
+    force.
     """
 
     apply_id: str
@@ -42,20 +42,20 @@
 
 
 class Accepted(NamedTuple):
-    """The apply is, or already was, in force as ``generation``."""
+    """Result: the apply took effect, now or on an earlier try, as ``generation``."""
 
     generation: int
 
 
 class Rejected(NamedTuple):
-    """The apply was based on ``base``, but ``current`` is in force."""
+    """Result: the apply was based on ``base``, but ``current`` is in force."""
 
     base: int
     current: int
 
 
 def plan_head(current: Head, request: ApplyRequest) -> Head | Accepted | Rejected:
-    """Return the head to swap in, or the answer if there is nothing to write."""
+    """Return the head to write, or the result if there is nothing to write."""
     if request.apply_id in current.applies:
         return Accepted(current.applies[request.apply_id])
     if request.base is not None and request.base != current.generation:
@@ -73,12 +73,12 @@
 
 
 def check_read_back(head: Head, request: ApplyRequest) -> Accepted | None:
-    """Return the acceptance if a lost write of this request took effect."""
+    """Return the acceptance if a write whose answer was lost took effect."""
     if request.apply_id in head.applies:
         return Accepted(head.applies[request.apply_id])
     return None
 
 
 def is_newer(running: Head | None, received: Head) -> bool:
-    """Return whether to adopt ``heard``: only ever a higher generation."""
+    """Return whether to adopt ``received``: only if its generation is higher."""
     return received.generation > (running.generation if running else 0)
--- a/ashpond/decisions/instancecount.py
+++ b/ashpond/decisions/instancecount.py
@@ -1,4 +1,4 @@
-"""Among how many instances a fleet's time is shared out, while some join."""
+"""Count the instances that a fleet's time is divided among while instances join."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from collections.abc import Iterable
 
-# Those that join count only after this: an instance that is cut off does not know of
-# them, and goes on earning as one of fewer (seconds).
+# An instance that joins is counted only after this time. Until then an instance that
+# is cut off may not know of it, and accrues a larger share of the time (seconds).
 JOINING_SECONDS = 30.0
 
 
 class InstanceCount:
-    """The instances that earn time, as one of them knows them.
+    """The instances that accrue time, as known to one of them.
 
-    What it finds in its own first seconds was there before it. The more there are, the
-    less each earns, so that one too many never gives more away.
+    An instance that is seen within :data:`JOINING_SECONDS` of this one's start is
+    taken to have been there before. The share of each falls with their number, so
+    counting one too many never exceeds a limit.
 
     :param now: when this instance started.
     """
@@ -25,11 +26,11 @@
         self._seen_at: dict[str, float] = {}
 
     def update(self, names: Iterable[str], now: float) -> None:
-        """Take the instances that there are."""
+        """Replace the set of present instances."""
         self._seen_at = {name: self._seen_at.get(name, now) for name in names}
 
     def is_counted(self, name: str, now: float) -> bool:
-        """Return whether an instance earns time."""
+        """Return whether an instance accrues time."""
         seen_at = self._seen_at.get(name)
         if seen_at is None:
             return False
@@ -37,6 +38,6 @@
         return was_present or now - seen_at >= JOINING_SECONDS
 
     def compute_share(self, now: float) -> float:
-        """Return the part of the fleet's time that each of them earns."""
+        """Return the share of the fleet's time that each instance accrues."""
         count = sum(1 for name in self._seen_at if self.is_counted(name, now))
         return 1.0 / max(1, count)
--- a/ashpond/decisions/knowledge.py
+++ b/ashpond/decisions/knowledge.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the declared state, and how old that knowledge is."""
+"""The configuration and weight targets known to an instance, and their age."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 from ashpond.decisions.declared import Declaration, WeightTarget
 
-# Requests on older weights count for less from 1.5 s after a target's acceptance.
+# A weight target is required this long after it was received (seconds): from 1.5 s
+# after its acceptance, requests that run on older weights count for less.
 STALE_AFTER_SECONDS = 1.2
-# An instance learns of a target up to so long after its acceptance; longer ones are
-# times without the store, which do not count against the bound.
+# An instance receives a target at most this long after its acceptance (seconds). Longer
+# delays occur only while the store is unreachable, and do not count against the bound.
 MAX_TARGET_DELAY_SECONDS = 3.0
 
 
 class _TargetRecord(NamedTuple):
-    """A version, when this instance learned of it, and the earliest it was accepted."""
+    """A target version, when it was received, and the earliest time of acceptance."""
 
     version: int
     received_at: float
@@ -24,9 +25,10 @@
 
 
 class Knowledge:
-    """The configuration in force and the weight targets.
+    """The configuration in force and the weight targets, as known to an instance.
 
-    ``confirmed_at`` is on this process's clock: the store held nothing newer then.
+    ``confirmed_at`` is the last time, on this process's clock, at which the store is
+    known to have held nothing newer.
     """
 
     def __init__(self) -> None:
@@ -36,7 +38,7 @@
         self._target_records: dict[str, list[_TargetRecord]] = {}
 
     def adopt(self, declaration: Declaration) -> bool:
-        """Take over a configuration unless it is older; return whether it is new."""
+        """Adopt a configuration if it is newer; return whether it is."""
         current = self.declaration
         if current is not None and declaration.version <= current.version:
             return False
@@ -44,12 +46,13 @@
         return True
 
     def adopt_target(self, target: WeightTarget, now: float) -> bool:
-        """Take over a weight target; return whether it is new."""
+        """Adopt a weight target if it is newer; return whether it is."""
         if target.version <= self.targets.get(target.model, 0):
             return False
         self.targets[target.model] = target.version
         records = self._target_records.setdefault(target.model, [])
-        # It was not there as of the last confirmation; at the start nothing is known.
+        # The target did not exist at the last confirmation. Before the first
+        # configuration there is no confirmation to rely on.
         accepted_after = max(self.confirmed_at, now - MAX_TARGET_DELAY_SECONDS)
         if self.declaration is None:
             accepted_after = now
@@ -58,15 +61,15 @@
         return True
 
     def confirm(self, at: float) -> None:
-        """Note that nothing newer was accepted before ``at``."""
+        """Record that nothing newer was accepted before ``at``."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def measure_age(self, now: float) -> float:
-        """Return the seconds for which something newer may have been accepted."""
+        """Return for how many seconds a newer version may have been accepted."""
         return now - self.confirmed_at
 
     def find_required_version(self, model: str, now: float) -> int:
-        """Return the version on which requests count in full at ``now``."""
+        """Return the version that requests must run on to count in full at ``now``."""
         found = 0
         for record in self._target_records.get(model, ()):
             if record.received_at <= now - STALE_AFTER_SECONDS:
@@ -74,7 +77,7 @@
         return found
 
     def find_possible_version(self, model: str, until: float) -> int:
-        """Return the newest version that may have been named by ``until``."""
+        """Return the newest version that may have been accepted by ``until``."""
         found = 0
         for record in self._target_records.get(model, ()):
             if record.accepted_after <= until:
--- a/ashpond/decisions/leases.py
+++ b/ashpond/decisions/leases.py
@@ -1,11 +1,11 @@
-"""Hold the right to give orders, by a row that only compare-and-swap changes.
-
-No wall clock takes part. The holder counts its lease from *before* it sent the
-write that renewed it, on its own monotonic clock, less a margin. A contender
-takes over only after it has itself seen the row unchanged for the whole term
-and a bound on the delivery of orders. Every change of holder raises the fencing
-number. A server that ignores that number is safe as long as clocks' rates
-differ by less than the margin and no order is delivered later than the bound.
+"""Leases for the right to send orders, in a row that only compare-and-swap changes.
+
+No wall clock is involved. The holder counts its lease from *before* it sent the write
+that renewed it, on its own monotonic clock, less a margin. A contender takes over only
+after it has itself seen the row unchanged for the whole term plus a bound on the
+delivery of orders. Every change of holder raises the fencing number. A server that
+ignores the fencing number is safe as long as the rates of the clocks differ by less
+than the margin and no order is delivered later than the bound.
 """
 
 from __future__ import annotations
@@ -27,21 +27,23 @@
 MARGIN_SECONDS = 0.5
 DELIVERY_BOUND_SECONDS = 1.0
 RENEW_SECONDS = 1.0
-# Of the time that orders of two holders must be apart: for how long a renewal lets
-# its holder order, and how long a successor waits after that, with a margin for
-# clocks that differ in rate. Short terms cost writes, long ones delay a takeover.
+# Shares of the time by which orders of two holders must be apart. VALID_SHARE: how long
+# a renewal allows its holder to send orders. SEPARATION_SHARE: how much longer a
+# successor waits, with a margin for clocks that differ in rate. Short terms cost
+# writes, long ones delay a takeover.
 VALID_SHARE = 0.28
-# A store that comes back from an older copy has forgotten which fencing numbers were
-# given: those of its next era begin above. Far more than there are writes in one.
+# A store that was restored from an older copy does not know which fencing numbers were
+# issued, so those of its next era begin above all earlier ones. This is far larger than
+# the number of writes in one era.
 FENCES_PER_ERA = 1 << 32
 SEPARATION_SHARE = 1.05
 
 
 class LeaseTerms(NamedTuple):
-    """Times of a lease, in seconds.
+    """The times of a lease, in seconds.
 
-    ``valid`` is counted by the holder from before a renewal was sent; a contender
-    takes over after it has seen no renewal for ``silence``.
+    The holder counts ``valid_seconds`` from before it sent a renewal. A contender takes
+    over after it has seen no renewal for ``takeover_wait``.
     """
 
     valid_seconds: float
@@ -50,7 +52,7 @@
 
 
 def make_default_terms() -> LeaseTerms:
-    """Return the terms of the callers' API."""
+    """Return the terms of the lease that is used by the callers' API."""
     return LeaseTerms(
         TERM_SECONDS - MARGIN_SECONDS,
         TERM_SECONDS + DELIVERY_BOUND_SECONDS,
@@ -59,7 +61,7 @@
 
 
 def make_lease_terms(lease_seconds: float) -> LeaseTerms:
-    """Return terms that keep orders of two holders ``lease_seconds`` apart."""
+    """Return terms that keep the orders of two holders ``lease_seconds`` apart."""
     valid_seconds = lease_seconds * VALID_SHARE
     return LeaseTerms(
         valid_seconds,
@@ -77,14 +79,14 @@
 
 
 class LeaseWrite(NamedTuple):
-    """A write to try: ``version`` is that of the row it replaces, 0 for none."""
+    """A conditional write: ``version`` is that of the row it replaces, 0 for none."""
 
     row: LeaseRow
     version: int
 
 
 class Lease:
-    """One instance's side of one lease."""
+    """One instance's view of a lease that it holds or contends for."""
 
     def __init__(self, holder: str, terms: LeaseTerms | None = None):
         self.holder = holder
@@ -100,17 +102,16 @@
         self._was_holder = False
 
     def set_era(self, era: int | None) -> None:
-        """Take note of the era of the store, which has not changed under the lease."""
+        """Set the era of the store; the lease row is known to be of this era."""
         self._era = era
 
     def restart_in_era(self, era: int | None, now: float) -> None:
-        """Take note that the store came back from an older copy.
+        """Drop the lease row after the store was restored from an older copy.
 
-        Its row of the lease is of the time before, and may be older than grants that
-        were given since: it says nothing, and there is none yet. Who has renewed the
-        lease last may take it again at once, as until its term and the silence are
-        over nobody can have taken it over. All others wait for both from now on: the
-        last holder may not know yet.
+        The restored row may be older than leases granted since the copy, so it is
+        treated as missing. The last holder may take the lease again at once: until its
+        takeover wait is over, no other instance can have taken it. All others wait for
+        that time from now, because the last holder may not know of the restore yet.
         """
         self._was_holder = (
             self.is_holder and now - self._renewed_at < self.terms.takeover_wait
@@ -123,46 +124,46 @@
         self._version = 0
 
     def _choose_fence(self) -> int:
-        """Return a fencing number above all that were given, in earlier eras too."""
+        """Return a fencing number above all issued before, in earlier eras too."""
         base = 0 if self._era is None else self._era * FENCES_PER_ERA
         return max(self.fence, self._highest_fence, base) + 1
 
     def _may_take_without_row(self, now: float) -> bool:
-        """Return whether grants of before the store came back have run out."""
+        """Return whether leases granted before the store was restored have expired."""
         if self._was_holder:
             return True
         return now - self._era_since >= self.terms.takeover_wait
 
     def holds(self, now: float) -> bool:
-        """Return whether an order may be sent at this moment."""
+        """Return whether this instance holds the lease and may send an order now."""
         return now < self._valid_until
 
     @property
     def has_row(self) -> bool:
-        """Whether anyone has ever held the lease, as far as is known."""
+        """Whether any holder of the lease is known."""
         return self._row is not None
 
     @property
     def last_known_holder(self) -> str | None:
-        """Who held the lease when its row was last seen."""
+        """The holder named by the row when it was last read, None if unknown."""
         return self._row.holder if self._row else None
 
     @property
     def is_holder(self) -> bool:
-        """Whether the row, when last seen, named this instance."""
+        """Whether the row named this instance when it was last read."""
         return self._row is not None and self._row.holder == self.holder
 
     @property
     def fence(self) -> int:
-        """The fencing number that each order carries."""
+        """The fencing number to send with each order."""
         return self._row.fence if self._row else 0
 
     def on_read(
         self, row: LeaseRow | None, version: int, now: float, age: float = 0.0
     ) -> None:
-        """Take note of the row as it stands.
+        """Process the row as read, None if there is none.
 
-        :param age: seconds since its last renewal, where the store can tell.
+        :param age: seconds since its last renewal, if the store reports that.
         """
         if version != self._version or self._row is None:
             self._unchanged_since = now
@@ -173,7 +174,7 @@
         self._version = version
 
     def plan_write(self, now: float) -> LeaseWrite | None:
-        """Return the write that would take or renew the lease, if it is time."""
+        """Return the write that takes or renews the lease, None if none is due."""
         row = self._row
         if row is None:
             if not self._may_take_without_row(now):
@@ -189,7 +190,8 @@
 
     def _plan_renewal(self, row: LeaseRow, now: float) -> LeaseWrite | None:
         if not self.holds(now):
-            # Awake after a pause, or a late write of ours: take it afresh.
+            # The lease expired during a pause, or the row is a late write of this
+            # instance: take the lease again, with a new fencing number.
             fence = self._choose_fence()
             return LeaseWrite(LeaseRow(self.holder, fence, 0), self._version)
         if now - self._renewed_at < self.terms.renew_interval:
@@ -200,7 +202,7 @@
     def on_write(
         self, write: LeaseWrite, outcome: StoreOutcome, sent_at: float
     ) -> bool:
-        """Take the outcome of a write; return whether a fresh read is needed."""
+        """Process the outcome of a write; return whether the row must be read again."""
         if isinstance(outcome, Done):
             self._row = write.row
             self._version = outcome.value
--- a/ashpond/decisions/membership.py
+++ b/ashpond/decisions/membership.py
@@ -1,4 +1,4 @@
-"""Facts that instances tell of themselves, merged so that the newest wins."""
+"""Facts that instances publish about themselves; the newest of each is kept."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class MemberState(StrEnum):
-    """What an instance says of itself."""
+    """The state that an instance reports of itself."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Fact(NamedTuple):
-    """What ``origin`` (a peer address) said last.
+    """The state published by ``origin``, a peer address.
 
-    ``epoch`` grows with each start of the origin and ``sequence`` with each
-    fact of one start, so a restarted origin's facts replace its old ones.
+    ``epoch`` grows with each start of the origin, ``sequence`` with each fact since
+    that start. The facts of a restarted origin therefore replace its older ones.
     """
 
     origin: str
@@ -34,12 +34,12 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """The position of this fact among all facts of its origin."""
+        """The order of this fact among all facts of its origin."""
         return self.epoch, self.sequence
 
 
 class FactTable:
-    """The newest fact of each origin, and what each link has been told."""
+    """The newest fact of each origin, and which facts each link has been sent."""
 
     def __init__(self, own: str):
         self.own = own
@@ -48,7 +48,7 @@
         self._sent: dict[str, dict[str, tuple[int, int]]] = {}
 
     def put(self, fact: Fact, now: float) -> bool:
-        """Take a fact in; return whether it was news."""
+        """Store a fact; return whether it was newer than the known one."""
         known = self._facts.get(fact.origin)
         if known is not None and known.order >= fact.order:
             return False
@@ -61,7 +61,7 @@
         return self._facts.get(origin)
 
     def list_others(self, now: float) -> list[Fact]:
-        """Return the facts of other origins that are heard of lately."""
+        """Return the facts of other origins that are not expired."""
         oldest = now - FACT_LIFETIME_SECONDS
         return [
             fact
@@ -70,7 +70,7 @@
         ]
 
     def collect_updates(self, link: str) -> list[Fact]:
-        """Return the facts that the peer behind ``link`` has not had from here."""
+        """Return the facts that the peer at ``link`` lacks, and mark them as sent."""
         sent = self._sent.setdefault(link, {})
         updates = []
         for origin, fact in self._facts.items():
@@ -80,17 +80,21 @@
         return updates
 
     def mark_known(self, link: str, facts: Iterable[Fact]) -> None:
-        """Record that the peer behind ``link`` has these facts: it sent them."""
+        """Record that the peer at ``link`` has these facts, because it sent them."""
         sent = self._sent.setdefault(link, {})
         for fact in facts:
             sent[fact.origin] = max(sent.get(fact.origin, (-1, -1)), fact.order)
 
     def remove_link(self, link: str) -> None:
-        """Drop what a closed link was told; a new one starts from nothing."""
+        """Remove a closed link; a new link to the same peer is sent all facts again."""
         self._sent.pop(link, None)
 
     def expire(self, now: float, keep: Iterable[str]) -> list[str]:
-        """Drop origins not heard of for long and not in ``keep``."""
+        """Remove origins without a new fact for twice the fact lifetime.
+
+        :param keep: origins that stay in any case.
+        :returns: the removed origins.
+        """
         kept = {self.own, *keep}
         oldest = now - 2 * FACT_LIFETIME_SECONDS
         gone = [
@@ -108,10 +112,10 @@
 
 
 def choose_links(own: str, members: Sequence[str], count: int) -> list[str]:
-    """Return the members to open links to: the next on a ring, at growing steps.
+    """Return the members to open links to, at growing steps on a ring of all members.
 
-    Steps of 1, 2, 4, … keep the whole fleet within a few hops however the
-    members are numbered, and the first step alone joins all of them.
+    Steps of 1, 2, 4, … keep the whole fleet within a few hops, and the first step alone
+    connects all members.
     """
     ring = sorted(set(members) | {own})
     at = ring.index(own)
@@ -124,7 +128,7 @@
 
 
 def choose_watchers(engine: str, members: Sequence[str], count: int) -> list[str]:
-    """Return the instances that watch one engine, the same wherever asked."""
+    """Return the instances that watch an engine, the same list on every instance."""
     ranked = sorted(
         members,
         key=lambda member: xxhash.xxh3_64_intdigest(f"{engine}\x1f{member}".encode()),
--- a/ashpond/decisions/quotas.py
+++ b/ashpond/decisions/quotas.py
@@ -1,4 +1,4 @@
-"""Share a team's request rate among the instances by their demand."""
+"""Divide a team's request rate among the instances by their demand."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 ) -> float:
     """Return the part of a fleet-wide ``limit`` that this instance may use.
 
-    Half of the limit is split evenly, so that an instance that nobody has
-    heard of yet can serve; the rest follows demand. An instance that hears of
-    no other one falls back to its even part of the whole.
+    Half of the limit is divided evenly, so that an instance whose demand the others do
+    not know yet can serve; the rest is divided by demand. If the demand of any other
+    instance is unknown, the result is an even part of the whole limit.
     """
     even = limit / max(1, instances)
     if len(other_demands) < instances - 1:
@@ -27,7 +27,7 @@
 
 
 class TokenBucket:
-    """Allows ``rate`` requests a second and bursts of ``burst_seconds`` of them."""
+    """A token bucket of ``rate`` requests per second and ``burst_seconds`` of them."""
 
     def __init__(self, rate: float, burst_seconds: float, now: float):
         self.rate = rate
@@ -37,13 +37,13 @@
         self._updated = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate; tokens that no longer fit are lost."""
+        """Change the rate; tokens above the new bucket size are dropped."""
         self._refill(now)
         self.rate = rate
         self._tokens = min(self._tokens, self._size())
 
     def take(self, now: float) -> float:
-        """Take one token; return 0, or the seconds until there will be one."""
+        """Take one token and return 0, or return the seconds until one is available."""
         self._refill(now)
         self.demand += 1
         if self._tokens >= 1:
@@ -52,7 +52,7 @@
         return (1 - self._tokens) / self.rate
 
     def take_demand(self) -> float:
-        """Return the number of requests since the last call, and start anew."""
+        """Return the number of requests since the last call, and reset it."""
         demand, self.demand = self.demand, 0.0
         return demand
 
