--- a/tests/endings.py
+++ b/tests/crashingservers.py
@@ -26,7 +26,7 @@
 RUNNING_SECONDS = 0.05
 AWAY_SECONDS = 1.5
 # An entry goes after three heartbeats of silence (seconds).
-LAPSE_SECONDS = 1.0
+ENTRY_EXPIRY_SECONDS = 1.0
 WORK_SECONDS = 0.03
 DEADLY_BODY = b"deadly"
 HARMLESS_BODY = b"harmless"
@@ -40,7 +40,7 @@
     body: bytes
 
 
-class Seen(NamedTuple):
+class ClientResult(NamedTuple):
     """How a request ended for its client; status 0 for no answer, or half of one."""
 
     sent_at: float
@@ -57,22 +57,22 @@
         folder: Path,
         instances: int,
         servers: int,
-        kills: Callable[[bytes], bool],
+        is_deadly: Callable[[bytes], bool],
         mesh_limit: int = MAX_MESH_MEMBERS,
         limit: dict[str, object] | None = None,
     ):
         self._limit = limit or {}
         self.memory = MemoryStore()
         self.arrivals: list[Arrival] = []
-        self.ends: list[Arrival] = []
-        self.seen: list[Seen] = []
-        self._kills = kills
+        self.crashes: list[Arrival] = []
+        self.results: list[ClientResult] = []
+        self._is_deadly = is_deadly
         self._folder = folder
         self._counts = (instances, servers)
         self._mesh_limit = mesh_limit
         self._requests = 0
         # The instance that each request was sent to, by request id.
-        self.asked: dict[str, int] = {}
+        self.instance_by_request: dict[str, int] = {}
         self.instances: list[Instance] = []
 
     async def run(self, play: Callable[[], object]) -> None:
@@ -140,12 +140,12 @@
             server_id = f"{name}-{start}"
             entry = {**SERVER, "address": f"127.0.0.1:{port}", "models": []}
             self.memory.put(SERVERS_TABLE, server_id, orjson.dumps(entry))
-            await self._live(server_id, port)
-            await trio.sleep(LAPSE_SECONDS)
+            await self._serve_until_crash(server_id, port)
+            await trio.sleep(ENTRY_EXPIRY_SECONDS)
             self.memory.put(SERVERS_TABLE, server_id, None)
-            await trio.sleep(AWAY_SECONDS - LAPSE_SECONDS)
+            await trio.sleep(AWAY_SECONDS - ENTRY_EXPIRY_SECONDS)
 
-    async def _live(self, server_id: str, port: int) -> None:
+    async def _serve_until_crash(self, server_id: str, port: int) -> None:
         """Serve until a request ends the server with all its connections."""
         streams: set[trio.SocketStream] = set()
         async with trio.open_nursery() as nursery:
@@ -170,16 +170,16 @@
         server_id: str,
         stream: trio.SocketStream,
         request: bytes,
-        life: trio.Nursery,
+        server_nursery: trio.Nursery,
     ) -> None:
         body = request.partition(b"\r\n\r\n")[2]
         _, _, headers = parse_headers(request)
         arrival = Arrival(time.monotonic(), server_id, body)
         self.arrivals.append(arrival)
-        if self._kills(body):
+        if self._is_deadly(body):
             await trio.sleep(RUNNING_SECONDS)
-            self.ends.append(arrival._replace(at=time.monotonic()))
-            life.cancel_scope.cancel()
+            self.crashes.append(arrival._replace(at=time.monotonic()))
+            server_nursery.cancel_scope.cancel()
             await trio.sleep_forever()
         await trio.sleep(WORK_SECONDS)
         answer = make_answer(
@@ -187,11 +187,11 @@
         )
         await stream.send_all(answer)
 
-    async def ask(self, number: int, body: bytes, key: str = "k1") -> Seen:
+    async def ask(self, number: int, body: bytes, key: str = "k1") -> ClientResult:
         """Send a request to an instance on a connection of its own."""
         self._requests += 1
         sent_at = time.monotonic()
-        self.asked[f"r{self._requests}"] = number
+        self.instance_by_request[f"r{self._requests}"] = number
         headers = {
             "Host": "a.example",
             "Authorization": f"Token {key}",
@@ -210,11 +210,11 @@
             status, retry_after = answer.status_code, answer.headers.get("retry-after")
         except httpx.HTTPError:
             status = 0
-        return Seen(sent_at, body, status, retry_after)
+        return ClientResult(sent_at, body, status, retry_after)
 
-    async def note(self, number: int, body: bytes) -> None:
+    async def ask_and_record(self, number: int, body: bytes) -> None:
         """Send a request, and keep how it ended."""
-        self.seen.append(await self.ask(number, body))
+        self.results.append(await self.ask(number, body))
 
 
 def make_configuration(
--- a/tests/statements.py
+++ b/tests/directives.py
@@ -15,10 +15,10 @@
 # So many requests may reach a server in a backoff that it asked an instance for.
 BACKOFF_SLACK = 2
 # An instance is bound from so long after it was told.
-TOLD_SECONDS = 0.5
+REACTION_SECONDS = 0.5
 
 
-class Statement(NamedTuple):
+class Directive(NamedTuple):
     """An answer of a server to an instance, as far as it says something of the server.
 
     ``status`` is 200, or that of an answer to a request that was not run.
@@ -43,4 +43,4 @@
         return lines
 
 
-SILENT = Statement()
+NO_DIRECTIVE = Directive()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -92,7 +92,7 @@
         self.nursery.start_soon(self._load, server_id)
         return OrderAccepted(is_in_force=False)
 
-    def start_anew(self, server_id: str) -> None:
+    def restart(self, server_id: str) -> None:
         """End an engine, and start it again with the weights that it had."""
         self.born[server_id] += 1
         self.accepted[server_id] = 0
@@ -105,7 +105,7 @@
             return
         if self.loading[server_id] == self.deadly_version:
             self.ends += 1
-            self.start_anew(server_id)
+            self.restart(server_id)
             self.down.add(server_id)
             await trio.sleep(AWAY_SECONDS)
             self.down.discard(server_id)
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -15,12 +15,12 @@
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.news.items import ServerNotice
 from tests.allowance_fleet import LATENCY_SECONDS, LIMITED_SERVER, Fleet, FleetInstance
-from tests.statements import (
+from tests.directives import (
     LIMIT_SETTLED_SECONDS,
     LIMIT_SHARE,
     LIMIT_SLACK,
     LIMIT_WINDOW_SECONDS,
-    TOLD_SECONDS,
+    REACTION_SECONDS,
 )
 
 # How long answers take; one in ten takes the second time.
@@ -165,7 +165,9 @@
         fullest = 0
         for arrival in self.arrivals:
             is_bound = (
-                self.limit_set_at <= arrival.informed_at <= arrival.at - TOLD_SECONDS
+                self.limit_set_at
+                <= arrival.informed_at
+                <= arrival.at - REACTION_SECONDS
             )
             if arrival.at > until or not is_bound:
                 continue
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -42,7 +42,7 @@
 # (seconds); its entry goes meanwhile.
 RUNNING_SECONDS = 0.05
 AWAY_SECONDS = 3.0
-ENTRY_SECONDS = 2.4
+ENTRY_EXPIRY_SECONDS = 2.4
 
 
 class Arrival(NamedTuple):
@@ -52,7 +52,7 @@
     body: bytes
 
 
-class Seen(NamedTuple):
+class ClientResult(NamedTuple):
     """How a request ended for its client."""
 
     sent_at: float
@@ -66,7 +66,7 @@
 
     def __init__(self, server_id: str):
         self.server_id = server_id
-        self.ended = trio.Event()
+        self.crashed = trio.Event()
 
 
 class FleetPool:
@@ -103,11 +103,11 @@
         self._fleet.arrivals.append(Arrival(trio.current_time(), request.body))
         if request.body == DEADLY_BODY:
             with trio.move_on_after(RUNNING_SECONDS):
-                await self._server.ended.wait()
-            self._fleet.end([self._server.server_id])
+                await self._server.crashed.wait()
+            self._fleet.crash([self._server.server_id])
             raise ChannelError("ended", is_sent=True)
-        with trio.move_on_after(self._fleet.measure_work(request.body)):
-            await self._server.ended.wait()
+        with trio.move_on_after(self._fleet.get_run_seconds(request.body)):
+            await self._server.crashed.wait()
             raise ChannelError("ended", is_sent=True)
         return ScriptedResponse(Answer())
 
@@ -125,7 +125,7 @@
         self.quarantine: Quarantine = make_quarantine(
             log,
             fleet.store,
-            lambda ends: fleet.tell(self, ends),
+            lambda ends: fleet.broadcast(self, ends),
             lambda: [instance.name for instance in fleet.instances],
             lambda: self.ends.measure_hazard(),
         )
@@ -152,7 +152,7 @@
                 lambda service: budget,
                 lambda: 1,
                 lambda server, salt, prompt: None,
-                lambda call, team: identify(call),
+                lambda call, team: compute_fingerprint(call),
                 self.ends,
                 ServerDirectives(
                     self.table,
@@ -177,7 +177,7 @@
             nursery.start_soon(self.quarantine.run)
 
 
-def identify(call: IncomingCall) -> str:
+def compute_fingerprint(call: IncomingCall) -> str:
     return make_fingerprint("s", "desk", call.host, call.method, b"/x", call.body)
 
 
@@ -194,18 +194,18 @@
         instances: int,
         servers: int,
         lag: float,
-        work: dict[bytes, float] | None = None,
+        run_seconds: dict[bytes, float] | None = None,
         objective: float = 0.5,
     ):
         self.store = MemoryStore()
         self.arrivals: list[Arrival] = []
-        self.ended_at: list[float] = []
-        self.seen: list[Seen] = []
+        self.crashed_at: list[float] = []
+        self.results: list[ClientResult] = []
         self.servers: dict[str, FleetServer] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self._nursery = nursery
         self._lag = lag
-        self._work = work or {}
+        self._run_seconds = run_seconds or {}
         self.objective = objective
         self._number = 0
         for _ in range(servers):
@@ -229,26 +229,26 @@
                 for instance in instances:
                     nursery.start_soon(instance.run)
 
-    def measure_work(self, body: bytes) -> float:
-        return self._work.get(body, 0.1)
+    def get_run_seconds(self, body: bytes) -> float:
+        return self._run_seconds.get(body, 0.1)
 
-    def tell(self, sender: FleetInstance, ends: Sequence[ServerCrash]) -> None:
-        if sender.name not in self.cut:
-            self._nursery.start_soon(self._carry, sender, list(ends))
+    def broadcast(self, sender: FleetInstance, ends: Sequence[ServerCrash]) -> None:
+        if sender.name not in self.partitioned:
+            self._nursery.start_soon(self._deliver, sender, list(ends))
 
-    async def _carry(self, sender: FleetInstance, ends: list[ServerCrash]) -> None:
-        hearers = [i for i in self.instances if i is not sender]
+    async def _deliver(self, sender: FleetInstance, ends: list[ServerCrash]) -> None:
+        receivers = [i for i in self.instances if i is not sender]
         await trio.sleep(self._lag)
-        for hearer in hearers:
-            if hearer.name not in self.cut:
-                hearer.quarantine.merge_reported(ends, sender.name)
+        for receiver in receivers:
+            if receiver.name not in self.partitioned:
+                receiver.quarantine.merge_reported(ends, sender.name)
 
-    def heal(self) -> None:
+    def reconnect(self) -> None:
         """End a cut: instances that connect anew tell each other all they know."""
-        healed, self.cut = self.cut, set()
+        reconnected, self.partitioned = self.partitioned, set()
         for instance in self.instances:
             for other in self.instances:
-                if (instance.name in healed) != (other.name in healed):
+                if (instance.name in reconnected) != (other.name in reconnected):
                     ends = instance.quarantine.list_for_new_peer()
                     other.quarantine.merge_reported(ends, instance.name)
 
@@ -258,25 +258,25 @@
         for instance in self.instances:
             state = instance.table.by_id.get(server_id)
             if state is not None:
-                state.exclude_for(ENTRY_SECONDS, now)
+                state.exclude_for(ENTRY_EXPIRY_SECONDS, now)
 
-    def end(self, names: Iterable[str]) -> None:
+    def crash(self, names: Iterable[str]) -> None:
         """End servers with all that runs there; each comes back as a new start."""
         for name in names:
             server = self.servers.pop(name, None)
             if server is not None:
-                self.ended_at.append(trio.current_time())
-                server.ended.set()
+                self.crashed_at.append(trio.current_time())
+                server.crashed.set()
                 self._nursery.start_soon(self._replace, name)
 
     async def _replace(self, name: str) -> None:
-        await trio.sleep(ENTRY_SECONDS)
+        await trio.sleep(ENTRY_EXPIRY_SECONDS)
         now = trio.current_time()
         for instance in self.instances:
             gone = instance.table.remove(name, now, may_reappear=False)
             if gone is not None:
                 instance.ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
-        await trio.sleep(AWAY_SECONDS - ENTRY_SECONDS)
+        await trio.sleep(AWAY_SECONDS - ENTRY_EXPIRY_SECONDS)
         self._start_server()
 
     def _start_server(self) -> None:
@@ -287,21 +287,23 @@
             info = make_server(name, address=make_address(name))
             instance.table.update(info, trio.current_time())
 
-    async def ask(self, number: int, body: bytes, patience: float = 4.0) -> None:
+    async def ask(self, number: int, body: bytes, timeout: float = 4.0) -> None:
         """Have an instance handle a request, and keep how it ended."""
         instance = self.instances[number % len(self.instances)]
         now = trio.current_time()
         instance.knowledge.confirm(now)
-        call = make_call(received_at=now, body=body, patience=patience)
+        call = make_call(received_at=now, body=body, patience=timeout)
         accepted = admit_call(call, instance.knowledge, 5.0, now)
         reply = RecordedReply()
         await instance.dispatcher.dispatch(call, accepted, reply)  # type: ignore[arg-type]
-        self.seen.append(Seen(now, body, reply.status, reply.is_whole))
+        self.results.append(ClientResult(now, body, reply.status, reply.is_whole))
 
-    async def ask_often(self, body: bytes, gap: float, patience: float = 4.0) -> None:
+    async def ask_repeatedly(
+        self, body: bytes, gap: float, timeout: float = 4.0
+    ) -> None:
         """Ask one instance after the other until cancelled."""
         number = 0
         while True:
-            self._nursery.start_soon(self.ask, number, body, patience)
+            self._nursery.start_soon(self.ask, number, body, timeout)
             number += 1
             await trio.sleep(gap)
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -7,8 +7,8 @@
 
 import trio
 
+from tests.directives import NO_DIRECTIVE, Directive
 from tests.servers import read_request
-from tests.statements import SILENT, Statement
 
 if TYPE_CHECKING:
     from tests.soak.statements import Phase
@@ -41,7 +41,7 @@
     at: float
     server: str
     request_id: str
-    statement: Statement
+    statement: Directive
 
 
 class Ledger:
@@ -69,12 +69,12 @@
         self.server_id = server_id
         self.ledger = ledger
         # What it says of itself in its answers at present.
-        self.statement = SILENT
+        self.statement = NO_DIRECTIVE
         self.is_speaking = False
 
     def fall_silent(self) -> None:
         """Say nothing more of itself."""
-        self.statement = SILENT
+        self.statement = NO_DIRECTIVE
         self.is_speaking = False
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -96,7 +96,7 @@
         now = trio.current_time()
         self.ledger.reached.append(Reached(now, self.server_id, request_id))
         statement = self.statement
-        if statement != SILENT:
+        if statement != NO_DIRECTIVE:
             told = Told(now, self.server_id, request_id, statement)
             self.ledger.told.append(told)
         if statement.status != 200:
--- a/tests/soak/statements.py
+++ b/tests/soak/statements.py
@@ -9,15 +9,15 @@
 
 import trio
 
-from tests.statements import (
+from tests.directives import (
     BACKOFF_SLACK,
     LEAVING_SECONDS,
     LIMIT_SETTLED_SECONDS,
     LIMIT_SHARE,
     LIMIT_SLACK,
     LIMIT_WINDOW_SECONDS,
-    TOLD_SECONDS,
-    Statement,
+    REACTION_SECONDS,
+    Directive,
 )
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
     async def _name_limit(self, server: Server) -> None:
         rate = self._rng.choice(LIMITS)
         begin = trio.current_time()
-        server.statement = Statement(limit=rate)
+        server.statement = Directive(limit=rate)
         try:
             await trio.sleep(self._rng.uniform(*LIMITED_SECONDS))
         finally:
@@ -81,7 +81,7 @@
             self._world.ledger.phases.append(phase)
 
     async def _ask_for_backoff(self, server: Server) -> None:
-        server.statement = Statement(503, backoff=self._rng.choice(BACKOFFS))
+        server.statement = Directive(503, backoff=self._rng.choice(BACKOFFS))
         try:
             await trio.sleep(self._rng.uniform(*REJECTING_SECONDS))
         finally:
@@ -93,7 +93,7 @@
             server.fall_silent()
             return
         self._left += 1
-        server.statement = Statement(is_leaving=True)
+        server.statement = Directive(is_leaving=True)
         await self._world.add_server()
         await trio.sleep(self._rng.uniform(*LISTED_SECONDS))
         self._world.remove_entry(server.server_id)
@@ -161,7 +161,7 @@
             sent = [
                 at
                 for at in self._reached[word.server, name]
-                if word.at + TOLD_SECONDS <= at < end
+                if word.at + REACTION_SECONDS <= at < end
             ]
             excused = self._is_excused(word.server, name, word.at, end)
             if len(sent) > BACKOFF_SLACK and not excused:
@@ -193,7 +193,7 @@
             at
             for name, told_at in told.items()
             for at in self._reached[phase.server, name]
-            if told_at + TOLD_SECONDS <= at <= phase.end
+            if told_at + REACTION_SECONDS <= at <= phase.end
             and not self._is_excused(phase.server, name, told_at, at)
         )
         ends = [at for at in counted if at >= named_at + LIMIT_SETTLED_SECONDS]
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -15,6 +15,7 @@
 from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.rows import OPERATOR_TABLE, SERVERS_TABLE
+from tests.directives import NO_DIRECTIVE
 from tests.row_builders import ROUTE, SERVER
 from tests.servers import make_answer, read_request
 from tests.soak.checks import LEAST_SERVED, check
@@ -25,7 +26,6 @@
 from tests.soak.proxy import Harm, Proxy
 from tests.soak.servers import Ledger, Server
 from tests.soak.statements import Statements
-from tests.statements import SILENT
 from tests.test_platform_store import answer_call
 
 # Instances that were restarted need a second or two, on a busy machine more.
@@ -276,7 +276,7 @@
         self.memory.is_down = False
         for server in self.servers.values():
             if not server.statement.is_leaving:
-                server.statement = SILENT
+                server.statement = NO_DIRECTIVE
         for proxy in [*self.store_proxies, *self.server_proxies.values()]:
             proxy.harm = Harm.NONE
         for instance in self.instances:
--- a/tests/test_allowance_processes.py
+++ b/tests/test_allowance_processes.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from tests.endings import HARMLESS_BODY, World
+from tests.crashingservers import HARMLESS_BODY, World
 
 RATE = 20
 WINDOW_SECONDS = 8.0
@@ -44,7 +44,9 @@
             if killed is not None:
                 nursery.start_soon(kill_and_restart, killed)
             for number in range(round(LOAD_SECONDS / INTERVAL_SECONDS)):
-                nursery.start_soon(world.note, number % INSTANCES, HARMLESS_BODY)
+                nursery.start_soon(
+                    world.ask_and_record, number % INSTANCES, HARMLESS_BODY
+                )
                 await trio.sleep(INTERVAL_SECONDS)
 
     await world.run(send_load)
@@ -52,6 +54,6 @@
     assert find_fullest_window(arrivals) <= BOUND
     if killed is None:
         assert len(arrivals) >= 0.8 * RATE * LOAD_SECONDS
-        assert {seen.status for seen in world.seen} == {200, 429}
-        refused = [seen for seen in world.seen if seen.status == 429]
-        assert all(float(seen.retry_after or 0) > 0 for seen in refused)
+        assert {result.status for result in world.results} == {200, 429}
+        refused = [result for result in world.results if result.status == 429]
+        assert all(float(result.retry_after or 0) > 0 for result in refused)
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -37,46 +37,46 @@
     def on_fact(self, listener: Any) -> None:
         self.listener = listener
 
-    def tell(self, other: FakeMembers) -> None:
+    def send_facts(self, other: FakeMembers) -> None:
         body = {CRASHES_KEY: self.produce()}
         other.listener(SimpleNamespace(origin="a", body=body))
 
 
-class Told:
+class QuarantineBench:
     def __init__(self) -> None:
         self.members = FakeMembers()
         self.engines = SimpleNamespace(servers={}, on_crash=None)
-        self.ends = CallQuarantine(
+        self.quarantine = CallQuarantine(
             make_settings(),
             self.engines,  # type: ignore[arg-type]
             self.members,  # type: ignore[arg-type]
             Metrics(),
         )
 
-    def end(self, call: Call, start: str) -> None:
+    def crash_server(self, call: Call, start: str) -> None:
         """Lose a call with the end of a server's start."""
         server = WatchedServer(start, start, None, "127.0.0.1:9", "reader", False)
-        self.ends.note_failed_attempt(call, server, trio.current_time() - 0.1)
+        self.quarantine.note_failed_attempt(call, server, trio.current_time() - 0.1)
         self.engines.on_crash(server, CrashEvidence.NEW_START)
 
     def classify(self, call: Call) -> QuarantineState:
-        return self.ends.classify(self.ends.compute_fingerprint(call))
+        return self.quarantine.classify(self.quarantine.compute_fingerprint(call))
 
 
-async def end_three(told: Told, call: Call) -> None:
+async def crash_three_servers(bench: QuarantineBench, call: Call) -> None:
     for number in range(3):
-        told.end(call, f"e{number}#1")
+        bench.crash_server(call, f"e{number}#1")
         await trio.sleep(GAP_SECONDS)
 
 
-async def test_a_call_that_has_ended_three_servers_is_refused_for_good(
+async def test_call_that_crashed_three_servers_is_refused_without_retry(
     autojump_clock: object,
 ) -> None:
-    told = Told()
+    bench = QuarantineBench()
     call = make_call()
-    await end_three(told, call)
-    assert told.classify(call) is QuarantineState.QUARANTINED
-    keep_away = make_quarantine(told.ends, Metrics())
+    await crash_three_servers(bench, call)
+    assert bench.classify(call) is QuarantineState.QUARANTINED
+    keep_away = make_quarantine(bench.quarantine, Metrics())
 
     async def follow(call: Call) -> Reply:
         raise AssertionError("it must not be sent")
@@ -86,19 +86,19 @@
     assert "Retry-After" not in reply.headers
     assert b"quarantined" in reply.body  # type: ignore[operator]
     other = make_call(body=b"{ }")
-    assert told.classify(other) is QuarantineState.FREE
+    assert bench.classify(other) is QuarantineState.FREE
 
 
-async def test_the_others_are_told(autojump_clock: object) -> None:
-    one, other = Told(), Told()
+async def test_crashes_are_reported_to_other_instances(autojump_clock: object) -> None:
+    one, other = QuarantineBench(), QuarantineBench()
     call = make_call()
-    await end_three(one, call)
-    one.members.tell(other.members)
+    await crash_three_servers(one, call)
+    one.members.send_facts(other.members)
     assert other.classify(call) is QuarantineState.QUARANTINED
     # Told again and again, it counts no more and no longer.
     await trio.sleep(callquarantine.RETENTION_SECONDS - 1)
-    one.members.tell(other.members)
-    other.members.tell(one.members)
+    one.members.send_facts(other.members)
+    other.members.send_facts(one.members)
     await trio.sleep(GAP_SECONDS * 3)
     assert {one.classify(call), other.classify(call)} == {QuarantineState.FREE}
 
@@ -106,12 +106,12 @@
 @pytest.mark.parametrize(
     "part", [None, 7, [7], [["x"] * 5], [["f" * 24, "e", -1.0, 0.0, False]], {"a": 1}]
 )
-async def test_what_makes_no_sense_is_passed_over(
+async def test_invalid_crash_reports_are_ignored(
     part: object, autojump_clock: object
 ) -> None:
-    told = Told()
-    told.members.listener(SimpleNamespace(origin="a", body={CRASHES_KEY: part}))
-    assert told.members.produce() == []
+    bench = QuarantineBench()
+    bench.members.listener(SimpleNamespace(origin="a", body={CRASHES_KEY: part}))
+    assert bench.members.produce() == []
 
 
 async def answer(call: Call) -> Reply:
@@ -119,14 +119,14 @@
     return Reply(200, {}, b"whole")
 
 
-async def test_a_suspected_call_goes_alone_and_an_answer_frees_it(
+async def test_suspected_call_runs_alone_and_a_whole_answer_clears_it(
     autojump_clock: object,
 ) -> None:
-    told = Told()
+    bench = QuarantineBench()
     call = make_call()
-    told.end(call, "e1#1")
+    bench.crash_server(call, "e1#1")
     await trio.sleep(SETTLING_SECONDS)
-    keep_away = make_quarantine(told.ends, Metrics())
+    keep_away = make_quarantine(bench.quarantine, Metrics())
     seen: list[Call] = []
     replies: list[Reply] = []
 
@@ -146,14 +146,14 @@
     assert [c.is_suspected for c in seen] == [True]
     assert [reply.status for reply in replies] == [503, 200]
     assert replies[0].headers["Retry-After"]
-    assert told.classify(call) is QuarantineState.FREE
+    assert bench.classify(call) is QuarantineState.FREE
 
 
-async def test_half_a_stream_frees_nothing(autojump_clock: object) -> None:
-    told = Told()
+async def test_incomplete_stream_does_not_clear_a_call(autojump_clock: object) -> None:
+    bench = QuarantineBench()
     call = make_call()
-    told.end(call, "e1#1")
-    keep_away = make_quarantine(told.ends, Metrics())
+    bench.crash_server(call, "e1#1")
+    keep_away = make_quarantine(bench.quarantine, Metrics())
 
     async def stream(call: Call) -> Reply:
         async def pieces() -> Any:
@@ -165,20 +165,20 @@
     again = make_call()
     await keep_away(again, stream)
     await again.exits.aclose()
-    assert told.classify(call) is QuarantineState.SUSPECTED
+    assert bench.classify(call) is QuarantineState.SUSPECTED
 
 
-async def test_a_server_that_refuses_connections_has_ended(
+async def test_server_that_refuses_connections_has_crashed(
     autojump_clock: object, monkeypatch: Any, nursery: trio.Nursery
 ) -> None:
     async def refuse(address: str) -> Reach:
         return Reach.REFUSED
 
     monkeypatch.setattr(callquarantine, "check_address", refuse)
-    told = Told()
-    nursery.start_soon(told.ends.run)
+    bench = QuarantineBench()
+    nursery.start_soon(bench.quarantine.run)
     call = make_call()
     server = WatchedServer("e#1", "e#1", None, "127.0.0.1:9", "reader", False)
-    told.ends.note_failed_attempt(call, server, trio.current_time())
+    bench.quarantine.note_failed_attempt(call, server, trio.current_time())
     await trio.sleep(0.01)
-    assert told.classify(call) is QuarantineState.SUSPECTED
+    assert bench.classify(call) is QuarantineState.SUSPECTED
--- a/tests/test_calls_that_end_engines.py
+++ b/tests/test_calls_that_crash_engines.py
@@ -13,7 +13,7 @@
 
 DEADLY = "end now"
 # The news of three ends are there by then, each a gossip period old and settled.
-MOST_CALLS = 40
+MAX_CALLS = 40
 GAP_SECONDS = 0.3
 
 
@@ -25,7 +25,7 @@
     return len(dead)
 
 
-def test_a_call_that_has_ended_engines_is_refused_by_all_instances(
+def test_call_that_crashed_engines_is_refused_by_all_instances(
     fleet: Fleet,
 ) -> None:
     for engine in fleet.engines:
@@ -33,7 +33,7 @@
     deadly = make_body(messages=[{"role": "user", "content": DEADLY}])
     ended = 0
     refused: set[str] = set()
-    for number in range(MOST_CALLS):
+    for number in range(MAX_CALLS):
         instance = fleet.instances[number % 3]
         if ask(instance, deadly).status_code == 400:
             refused.add(instance.name)
--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -27,7 +27,7 @@
 from tests.servers import run_server
 
 
-class CheckedPool:
+class CountingPool:
     """Answers each check as told, and counts them."""
 
     def __init__(self, reach: Reach):
@@ -40,12 +40,12 @@
         return self.reach
 
 
-class Watched:
+class DetectorBench:
     def __init__(self, reach: Reach = Reach.UNKNOWN):
-        self.pool = CheckedPool(reach)
+        self.pool = CountingPool(reach)
         self.lost: list[LostRequest] = []
         self.refused: list[WatchedServer] = []
-        self.ends = CrashDetector(
+        self.detector = CrashDetector(
             self.pool.check,
             DecisionLog("i").note,
             self.lost.append,
@@ -61,134 +61,136 @@
     return ServerState(info, trio.current_time()).watched
 
 
-async def test_a_server_that_refuses_connections_has_ended(
+async def test_server_that_refuses_connections_has_crashed(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    watched = Watched(Reach.REFUSED)
-    nursery.start_soon(watched.ends.run)
+    bench = DetectorBench(Reach.REFUSED)
+    nursery.start_soon(bench.detector.run)
     state = make_state()
-    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
-    watched.ends.note_failed_attempt(state, "f2", trio.current_time())
+    bench.detector.note_failed_attempt(state, "f1", trio.current_time())
+    bench.detector.note_failed_attempt(state, "f2", trio.current_time())
     await trio.sleep(0.01)
-    assert watched.list_lost() == ["f1", "f2"]
-    assert watched.refused == [state]
-    assert watched.pool.checks == 1
+    assert bench.list_lost() == ["f1", "f2"]
+    assert bench.refused == [state]
+    assert bench.pool.checks == 1
 
 
-async def test_a_server_that_takes_connections_has_ended_nobody(
+async def test_reachable_server_has_not_crashed(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    watched = Watched(Reach.CONNECTED)
-    nursery.start_soon(watched.ends.run)
+    bench = DetectorBench(Reach.CONNECTED)
+    nursery.start_soon(bench.detector.run)
     state = make_state()
-    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
+    bench.detector.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(1)
     # It ends later, for another reason; what broke before was not ended by it.
-    watched.ends.note_crash(state, CrashEvidence.ENTRY_GONE)
-    assert not watched.lost
+    bench.detector.note_crash(state, CrashEvidence.ENTRY_GONE)
+    assert not bench.lost
 
 
-async def test_a_new_start_counts_though_the_server_takes_connections_again(
+async def test_new_start_counts_as_a_crash_if_the_server_is_reachable_again(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    watched = Watched(Reach.CONNECTED)
-    nursery.start_soon(watched.ends.run)
+    bench = DetectorBench(Reach.CONNECTED)
+    nursery.start_soon(bench.detector.run)
     state = make_state()
-    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
+    bench.detector.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(0.5)
-    watched.ends.note_crash(state, CrashEvidence.NEW_START)
-    assert watched.list_lost() == ["f1"]
+    bench.detector.note_crash(state, CrashEvidence.NEW_START)
+    assert bench.list_lost() == ["f1"]
 
 
 @pytest.mark.parametrize("evidence", list(CrashEvidence))
-async def test_each_sign_counts_once(
+async def test_crash_counts_once_whatever_the_evidence(
     evidence: CrashEvidence, autojump_clock: object
 ) -> None:
-    watched = Watched()
+    bench = DetectorBench()
     state = make_state()
-    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
-    watched.ends.note_crash(state, evidence)
-    watched.ends.note_crash(state, CrashEvidence.ENTRY_GONE)
-    assert watched.list_lost() == ["f1"]
-    assert watched.lost[0].server is state
+    bench.detector.note_failed_attempt(state, "f1", trio.current_time())
+    bench.detector.note_crash(state, evidence)
+    bench.detector.note_crash(state, CrashEvidence.ENTRY_GONE)
+    assert bench.list_lost() == ["f1"]
+    assert bench.lost[0].server is state
 
 
-async def test_what_breaks_a_little_after_the_proof_counts(
+async def test_attempt_that_fails_shortly_after_the_crash_counts(
     autojump_clock: object,
 ) -> None:
-    watched = Watched()
+    bench = DetectorBench()
     state = make_state()
-    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
-    watched.ends.note_crash(state, CrashEvidence.REFUSED)
+    bench.detector.note_failed_attempt(state, "f1", trio.current_time())
+    bench.detector.note_crash(state, CrashEvidence.REFUSED)
     await trio.sleep(SAME_CRASH_SECONDS / 2)
-    watched.ends.note_failed_attempt(state, "f2", trio.current_time())
+    bench.detector.note_failed_attempt(state, "f2", trio.current_time())
     await trio.sleep(SAME_CRASH_SECONDS)
-    watched.ends.note_failed_attempt(state, "f3", trio.current_time())
-    assert watched.list_lost() == ["f1", "f2"]
+    bench.detector.note_failed_attempt(state, "f3", trio.current_time())
+    assert bench.list_lost() == ["f1", "f2"]
 
 
-async def test_what_broke_long_before_the_end_does_not_count(
+async def test_attempt_that_failed_long_before_the_crash_does_not_count(
     autojump_clock: object,
 ) -> None:
-    watched = Watched()
+    bench = DetectorBench()
     state = make_state()
-    watched.ends.note_failed_attempt(state, "f1", trio.current_time())
+    bench.detector.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(ATTRIBUTION_SECONDS + 0.1)
-    watched.ends.note_failed_attempt(state, "f2", trio.current_time())
-    watched.ends.note_crash(state, CrashEvidence.REFUSED)
-    assert watched.list_lost() == ["f2"]
+    bench.detector.note_failed_attempt(state, "f2", trio.current_time())
+    bench.detector.note_crash(state, CrashEvidence.REFUSED)
+    assert bench.list_lost() == ["f2"]
 
 
-async def test_a_server_that_leaves_as_announced_was_ended_by_nobody(
+async def test_draining_server_that_disappears_is_no_crash(
     autojump_clock: object,
 ) -> None:
-    watched = Watched()
+    bench = DetectorBench()
     leaving = make_state(is_draining=True)
-    watched.ends.note_failed_attempt(leaving, "f1", trio.current_time())
-    watched.ends.note_crash(leaving, CrashEvidence.ENTRY_GONE)
-    assert not watched.lost
+    bench.detector.note_failed_attempt(leaving, "f1", trio.current_time())
+    bench.detector.note_crash(leaving, CrashEvidence.ENTRY_GONE)
+    assert not bench.lost
 
 
-async def test_a_server_is_not_asked_again_and_again(
+async def test_server_checks_are_rate_limited(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    watched = Watched()
-    nursery.start_soon(watched.ends.run)
+    bench = DetectorBench()
+    nursery.start_soon(bench.detector.run)
     state = make_state()
     for number in range(100):
-        watched.ends.note_failed_attempt(state, f"f{number}", trio.current_time())
+        bench.detector.note_failed_attempt(state, f"f{number}", trio.current_time())
         await trio.sleep(CHECK_INTERVAL_SECONDS / 100)
-    assert watched.pool.checks <= 2
+    assert bench.pool.checks <= 2
 
 
-async def test_a_silent_server_is_not_asked(
+async def test_server_is_not_checked_after_an_idle_timeout(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    watched = Watched(Reach.REFUSED)
-    nursery.start_soon(watched.ends.run)
+    bench = DetectorBench(Reach.REFUSED)
+    nursery.start_soon(bench.detector.run)
     state = make_state()
-    watched.ends.note_failed_attempt(
+    bench.detector.note_failed_attempt(
         state, "f1", trio.current_time(), is_idle_timeout=True
     )
     await trio.sleep(0.1)
-    assert watched.pool.checks == 0
+    assert bench.pool.checks == 0
     # What was in flight counts, if its end shows otherwise.
-    watched.ends.note_crash(state, CrashEvidence.ENTRY_GONE)
-    assert watched.list_lost() == ["f1"]
+    bench.detector.note_crash(state, CrashEvidence.ENTRY_GONE)
+    assert bench.list_lost() == ["f1"]
 
 
-async def test_what_is_kept_is_bounded(autojump_clock: object) -> None:
-    watched = Watched()
+async def test_number_of_failed_attempts_kept_is_limited(
+    autojump_clock: object,
+) -> None:
+    bench = DetectorBench()
     states = [make_state(f"s{number}") for number in range(MAX_SERVERS + 10)]
     for state in states:
         for number in range(MAX_REQUESTS + 10):
-            watched.ends.note_failed_attempt(state, f"f{number}", trio.current_time())
+            bench.detector.note_failed_attempt(state, f"f{number}", trio.current_time())
     for state in states:
-        watched.ends.note_crash(state, CrashEvidence.REFUSED)
-    assert len(watched.lost) == MAX_SERVERS * MAX_REQUESTS
+        bench.detector.note_crash(state, CrashEvidence.REFUSED)
+    assert len(bench.lost) == MAX_SERVERS * MAX_REQUESTS
 
 
-async def test_a_check_tells_a_listener_from_none_and_keeps_its_connection() -> None:
+async def test_check_detects_a_listener_and_keeps_its_connection() -> None:
     async def serve(stream: trio.SocketStream, number: int) -> None:
         await trio.sleep_forever()
 
@@ -202,7 +204,7 @@
         assert pool.opened == 1
 
 
-def test_a_fingerprint_names_what_is_asked_and_by_whom() -> None:
+def test_fingerprint_depends_on_the_request_and_the_team() -> None:
     def name(**changes: object) -> str:
         values: dict = {
             "secret": "s1",
@@ -230,40 +232,40 @@
     assert "desk" not in name()
 
 
-async def test_the_hazard_is_that_of_the_service_that_lost_most(
+async def test_hazard_is_that_of_the_service_with_most_crashes(
     autojump_clock: object,
 ) -> None:
     engines = [make_state(f"e{number}") for number in range(5)]
     plain = [make_state(f"p{number}", service="plain") for number in range(4)]
-    ends = CrashDetector(
-        CheckedPool(Reach.UNKNOWN).check,
+    detector = CrashDetector(
+        CountingPool(Reach.UNKNOWN).check,
         DecisionLog("i").note,
         lambda lost: None,
         list_servers=lambda: engines + plain,
     )
-    assert ends.measure_hazard() == 0
+    assert detector.measure_hazard() == 0
     await trio.sleep(HAZARD_SECONDS)
     for state in engines[:3] + plain[:1] + engines[:3]:
-        ends.note_crash(state, CrashEvidence.ENTRY_GONE)
-    assert ends.measure_hazard() == pytest.approx(3 / (5 * HAZARD_SECONDS))
+        detector.note_crash(state, CrashEvidence.ENTRY_GONE)
+    assert detector.measure_hazard() == pytest.approx(3 / (5 * HAZARD_SECONDS))
     await trio.sleep(HAZARD_SECONDS + 1)
-    assert ends.measure_hazard() == 0
+    assert detector.measure_hazard() == 0
 
 
-async def test_servers_that_are_away_do_not_make_the_others_seem_endangered(
+async def test_absent_servers_do_not_raise_the_hazard_of_the_others(
     autojump_clock: object,
 ) -> None:
     engines = [make_state(f"e{number}") for number in range(5)]
     there = list(engines)
-    ends = CrashDetector(
-        CheckedPool(Reach.UNKNOWN).check,
+    detector = CrashDetector(
+        CountingPool(Reach.UNKNOWN).check,
         DecisionLog("i").note,
         lambda lost: None,
         list_servers=lambda: there,
     )
-    ends.note_server_counts()
+    detector.note_server_counts()
     await trio.sleep(HAZARD_SECONDS / 2)
     for state in engines:
-        ends.note_crash(state, CrashEvidence.ENTRY_GONE)
+        detector.note_crash(state, CrashEvidence.ENTRY_GONE)
         there.remove(state)
-    assert ends.measure_hazard() == pytest.approx(5 / (5 * HAZARD_SECONDS / 2))
+    assert detector.measure_hazard() == pytest.approx(5 / (5 * HAZARD_SECONDS / 2))
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -14,19 +14,19 @@
 from tests.gateway_builders import MODEL, make_prompt, make_server, make_table
 
 
-def test_a_draining_server_gets_no_new_work() -> None:
+def test_draining_server_gets_no_new_requests() -> None:
     table = make_table(make_server("a"), make_server("b"))
     table.update(make_server("a", is_draining=True), 1.0)
     assert [state.info.id for state in table.list_usable("reader", 1.0)] == ["b"]
 
 
-def test_a_removed_server_gets_no_new_work() -> None:
+def test_removed_server_gets_no_new_requests() -> None:
     table = make_table(make_server("a"), make_server("b"))
     table.remove("a", 1.0, may_reappear=False)
     assert [state.info.id for state in table.list_usable("reader", 1.0)] == ["b"]
 
 
-def test_entries_that_lapsed_with_the_store_are_used_until_they_are_back() -> None:
+def test_servers_whose_entries_disappeared_are_used_until_entries_reappear() -> None:
     table = make_table(make_server("a"), make_server("b"))
     table.replace_all([], 1.0, may_reappear=True)
     assert len(table.list_usable("reader", 2.0)) == 2
@@ -36,7 +36,7 @@
     assert [state.info.id for state in gone] == ["b"]
 
 
-def test_a_draining_entry_never_lapses_back_into_use() -> None:
+def test_draining_server_is_not_used_after_its_entry_disappears() -> None:
     table = make_table(make_server("a", is_draining=True))
     table.remove("a", 1.0, may_reappear=True)
     assert table.list_usable("reader", 1.0) == []
@@ -49,7 +49,7 @@
     assert state.weights[MODEL] == 4
 
 
-def test_pauses_of_an_unreached_server_grow_and_end() -> None:
+def test_pauses_after_connect_failures_grow_to_a_limit_and_reset() -> None:
     state = make_table(make_server("a")).by_id["a"]
     pauses = [state.note_connect_failure(0.0) for _ in range(6)]
     assert pauses == sorted(pauses)
@@ -58,7 +58,7 @@
     assert state.connect_failures == 0
 
 
-def test_a_peer_is_not_believed_about_a_server_that_answers_here() -> None:
+def test_connect_failure_of_a_peer_is_ignored_if_the_server_answers_here() -> None:
     state = make_table(make_server("a")).by_id["a"]
     state.note_answer(10.0, failed=False)
     state.note_peer_connect_failure(1.0, 10.2)
@@ -67,7 +67,7 @@
     assert not state.is_usable(12.0)
 
 
-def test_loads_of_silent_peers_stop_counting() -> None:
+def test_loads_of_peers_without_updates_expire() -> None:
     table = make_table(make_server("a"))
     table.note_peer_loads("p", {"a": Load(4)}, 1.0)
     assert table.sum_load("a", 1.5).requests == 4
@@ -83,76 +83,83 @@
     return [FleetRetryBudget(SHARE, SLACK, WINDOW, started_at) for _ in range(count)]
 
 
-def tell_all(budgets: list[FleetRetryBudget], now: float, life: str = "") -> None:
-    for number, teller in enumerate(budgets):
+def exchange_counts(
+    budgets: list[FleetRetryBudget], now: float, incarnation: str = ""
+) -> None:
+    for number, sender in enumerate(budgets):
         for other in budgets:
-            if other is not teller:
-                other.note_peer(f"i{number}{life}", teller.count_own(now), now)
+            if other is not sender:
+                other.note_peer(f"i{number}{incarnation}", sender.count_own(now), now)
 
 
-def take_all(budgets: list[FleetRetryBudget], now: float, *, tell: bool = True) -> int:
+def take_until_exhausted(
+    budgets: list[FleetRetryBudget], now: float, *, exchanges: bool = True
+) -> int:
     """Take repeats in turn until none gets any more."""
     is_any_left = True
     while is_any_left:
         got = [budget.take(len(budgets), now) for budget in budgets]
         is_any_left = any(got)
-        if tell:
-            tell_all(budgets, now)
+        if exchanges:
+            exchange_counts(budgets, now)
     return sum(budget.count_own(now).retries for budget in budgets)
 
 
-def test_the_fleets_repeats_stay_within_its_budget() -> None:
+def test_retries_of_all_instances_stay_within_the_budget() -> None:
     budgets = make_budgets(8)
     for budget in budgets:
         for n in range(30):
             budget.note_first_attempt(n / 10)
-    tell_all(budgets, 3.0)
-    taken = take_all(budgets, 3.0)
+    exchange_counts(budgets, 3.0)
+    taken = take_until_exhausted(budgets, 3.0)
     assert 0.5 * (SHARE * 240 + SLACK) < taken <= SHARE * 240 + SLACK
 
 
-def test_one_instance_may_use_what_the_others_do_not() -> None:
+def test_one_instance_may_use_the_unused_budget_of_others() -> None:
     budgets = make_budgets(8)
-    tell_all(budgets, 0.0)
-    assert take_all(budgets[:1], 0.0, tell=False) > SLACK / 8
+    exchange_counts(budgets, 0.0)
+    assert take_until_exhausted(budgets[:1], 0.0, exchanges=False) > SLACK / 8
 
 
-def test_instances_without_news_keep_to_their_parts() -> None:
+def test_instances_without_peer_updates_keep_to_their_shares() -> None:
     budgets = make_budgets(8)
-    taken = sum(take_all([budget] * 8, 0.0, tell=False) / 8 for budget in budgets)
+    taken = sum(
+        take_until_exhausted([budget] * 8, 0.0, exchanges=False) / 8
+        for budget in budgets
+    )
     assert taken <= SLACK
 
 
-def test_instances_that_restart_in_turn_get_no_budget_anew() -> None:
+def test_restarts_one_by_one_do_not_reset_the_budget() -> None:
     """Seed 924511327911 of Hinokuni's trouble-2: 128 repeats where 124 are allowed."""
     budgets = make_budgets(6)
-    tell_all(budgets, 0.0)
+    exchange_counts(budgets, 0.0)
     taken = 0
     for number in range(6):
         now = 1.5 * number
         before = sum(budget.count_own(now).retries for budget in budgets)
-        taken += take_all(budgets, now) - before
+        taken += take_until_exhausted(budgets, now) - before
         budgets[number] = FleetRetryBudget(SHARE, SLACK, WINDOW, now)
-        tell_all(budgets, now, life=f"#{number}")
+        exchange_counts(budgets, now, incarnation=f"#{number}")
     assert taken <= SLACK
 
 
-def test_many_that_spend_at_once_keep_to_even_parts_of_what_is_left() -> None:
+def test_simultaneous_retries_share_the_remaining_budget_evenly() -> None:
     """Grown Khangai scale-1: 1,185 repeats of 878 allowed, within a second of news."""
     budgets = make_budgets(78)
     for budget in budgets:
         budget.lag = 1.2
         for n in range(40):
             budget.note_first_attempt(n / 4)
-    tell_all(budgets, 11.0)
+    exchange_counts(budgets, 11.0)
     allowed = SHARE * 78 * 40 + SLACK
-    taken = take_all(budgets, 11.0, tell=False)
+    taken = take_until_exhausted(budgets, 11.0, exchanges=False)
     assert 0.5 * allowed < taken <= allowed
-    tell_all(budgets, 12.3)
-    assert take_all(budgets, 12.3, tell=False) <= allowed
+    exchange_counts(budgets, 12.3)
+    assert take_until_exhausted(budgets, 12.3, exchanges=False) <= allowed
 
 
-def test_the_budget_slides() -> None:
+def test_budget_window_slides() -> None:
     budget = make_budgets(1)[0]
     while budget.take(1, 0.0):
         pass
@@ -160,7 +167,7 @@
     assert budget.take(1, 10.1)
 
 
-def test_parts_are_believed_held_for_a_while_and_in_order() -> None:
+def test_cache_entries_count_in_prompt_order_until_they_expire() -> None:
     holdings = CacheIndex()
     prompt = make_prompt("rules", "shop", "own")
     holdings.note_read("a", "salt", prompt, 0.0)
@@ -173,7 +180,7 @@
     assert not holdings._used_at
 
 
-def test_peers_hear_of_a_part_once_in_a_while() -> None:
+def test_cache_entry_is_reported_to_peers_once_per_interval() -> None:
     holdings = CacheIndex()
     prompt = make_prompt("rules", "shop", "own")
     assert len(holdings.note_read("a", "salt", prompt, 0.0)) == 2
@@ -191,7 +198,7 @@
     return stores
 
 
-def test_a_store_counts_what_its_events_tell() -> None:
+def test_cache_store_counts_parts_from_its_events() -> None:
     stores = make_stores("rules")
     prompt = make_prompt("rules", "shop", "own")
     assert stores.count_tokens("salt", prompt) == 1000
@@ -199,7 +206,7 @@
     assert stores.count_tokens("salt", prompt) == 0
 
 
-def test_a_part_is_saved_once_while_it_is_on_its_way() -> None:
+def test_part_is_not_saved_again_while_a_save_is_in_progress() -> None:
     stores = make_stores("rules")
     prompt = make_prompt("rules", "shop", "own")
     assert stores.plan_save("salt", prompt, 0.0)
@@ -207,7 +214,7 @@
     assert stores.plan_save("salt", prompt, SAVING_SECONDS + 0.1)
 
 
-def test_a_store_that_is_away_is_not_used() -> None:
+def test_unreachable_cache_store_is_not_used() -> None:
     stores = make_stores("rules")
     stores.is_up = False
     prompt = make_prompt("rules", "shop", "own")
@@ -216,7 +223,7 @@
 
 
 @pytest.mark.parametrize("born", [None, 1000])
-def test_a_server_that_said_it_leaves_is_not_brought_back_by_its_row(
+def test_leaving_server_is_not_readmitted_by_its_row(
     born: int | None,
 ) -> None:
     table = make_table(make_server("a", started_ms=born))
@@ -230,14 +237,14 @@
     assert not table.list_usable("reader", 4.0)
 
 
-def test_a_new_start_of_a_server_that_left_gets_work() -> None:
+def test_new_start_of_a_leaving_server_gets_requests() -> None:
     table = make_table(make_server("a", started_ms=1000))
     table.note_leaving(table.by_id["a"])
     table.update(make_server("a", started_ms=2000), 1.0)
     assert table.list_usable("reader", 1.0)
 
 
-def test_of_servers_that_leave_the_last_thousands_are_remembered() -> None:
+def test_number_of_remembered_leaving_starts_is_limited() -> None:
     table = make_table()
     for number in range(MAX_LEAVING_STARTS + 10):
         table.update(make_server(f"s{number}"), 0.0)
--- a/tests/test_key_removal_after_restore.py
+++ b/tests/test_key_removal_after_restore.py
@@ -16,7 +16,7 @@
 import trio
 
 from ashpond_platform.rows import OPERATOR_TABLE
-from tests.endings import HARMLESS_BODY, World, make_configuration
+from tests.crashingservers import HARMLESS_BODY, World, make_configuration
 
 INSTANCES = 3
 LOST_VERSIONS = 13
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.statements import SILENT, Statement
-from tests.stating import StatingWorld, list_late
+from tests.directives import NO_DIRECTIVE, Directive
+from tests.directiveworld import DirectiveWorld, list_after_leaving
 
 INSTANCES = 4
 PER_SECOND = 40.0
@@ -17,17 +17,19 @@
 
 
 @pytest.mark.parametrize("status", [200, 503])
-async def test_a_server_that_said_it_leaves_gets_no_more_whatever_its_row_says(
+async def test_leaving_server_gets_no_requests_though_its_row_says_ready(
     status: int, tmp_path: Path
 ) -> None:
     """Its row goes on to say that it is ready, as with a store that is away."""
 
-    def leave(server_id: str, at: float) -> Statement:
+    def leave(server_id: str, at: float) -> Directive:
         leaves = server_id == LEAVING and at >= LEAVES_AT
-        return Statement(status=status, is_leaving=True) if leaves else SILENT
-
-    world = StatingWorld(tmp_path, INSTANCES, 3, leave)
-    await world.run(lambda: world.press(PER_SECOND, PLAY_SECONDS, ends=None))
-    assert {word.instance for word in world.stated}
-    assert not list_late(world.reached, world.stated)
-    assert {seen.status for seen in world.seen} == {200}
+        return Directive(status=status, is_leaving=True) if leaves else NO_DIRECTIVE
+
+    world = DirectiveWorld(tmp_path, INSTANCES, 3, leave)
+    await world.run(
+        lambda: world.send_requests(PER_SECOND, PLAY_SECONDS, side_task=None)
+    )
+    assert {sent.instance for sent in world.directives}
+    assert not list_after_leaving(world.received, world.directives)
+    assert {result.status for result in world.results} == {200}
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -14,85 +14,90 @@
 
 from ashpond.decisions.quarantine import SETTLING_SECONDS, QuarantineState
 from tests.gateway_builders import make_call
-from tests.quarantine_fleet import DEADLY_BODY, Fleet, Seen, identify
+from tests.quarantine_fleet import DEADLY_BODY, ClientResult, Fleet, compute_fingerprint
 
 # What the operators ask for: known to all so long after the third end (seconds), and
 # so many sends after it at most.
-KNOWN_SECONDS = 3.0
-MOST_SENDS = 3
-ENDS = 3
+PROPAGATION_SECONDS = 3.0
+MAX_ATTEMPTS = 3
+CRASHES = 3
 # News between instances: at once among few, over two hubs among many (seconds).
-FLAT_LAG = 0.05
+FULL_MESH_LAG = 0.05
 GROUP_LAG = 0.6
 POPULAR = b"popular"
-WORK = {POPULAR: 0.4, b"long": 3.0}
+RUN_SECONDS = {POPULAR: 0.4, b"long": 3.0}
 LONG_OBJECTIVE = 4.0
-HERD_SECONDS = 3.5
+CRASH_INTERVAL_SECONDS = 3.5
 
 
 def list_late(fleet: Fleet) -> list[float]:
     """Return when the deadly request was sent although it had to be known."""
-    known_at = sorted(fleet.ended_at)[ENDS - 1] + KNOWN_SECONDS
+    known_at = sorted(fleet.crashed_at)[CRASHES - 1] + PROPAGATION_SECONDS
     return [a.at for a in fleet.arrivals if a.body == DEADLY_BODY and a.at > known_at]
 
 
-def list_refused(fleet: Fleet) -> list[Seen]:
+def list_refused(fleet: Fleet) -> list[ClientResult]:
     """Return the harmless requests that were refused for good."""
-    return [s for s in fleet.seen if s.body != DEADLY_BODY and s.status == 400]
+    return [s for s in fleet.results if s.body != DEADLY_BODY and s.status == 400]
 
 
 @pytest.mark.parametrize(
     ("instances", "servers", "lag"),
-    [(1, 5, FLAT_LAG), (6, 5, FLAT_LAG), (78, 24, GROUP_LAG), (195, 59, GROUP_LAG)],
+    [
+        (1, 5, FULL_MESH_LAG),
+        (6, 5, FULL_MESH_LAG),
+        (78, 24, GROUP_LAG),
+        (195, 59, GROUP_LAG),
+    ],
 )
 @pytest.mark.parametrize("gap", [0.05, 0.4, 2.0, 9.0])
-async def test_all_instances_know_a_deadly_request_in_time(
+async def test_all_instances_quarantine_a_deadly_request_in_time(
     instances: int, servers: int, lag: float, gap: float, autojump_clock: object
 ) -> None:
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(nursery, instances, servers, lag, WORK)
-        nursery.start_soon(fleet.ask_often, POPULAR, 0.05)
-        nursery.start_soon(fleet.ask_often, DEADLY_BODY, gap)
+        fleet = Fleet(nursery, instances, servers, lag, RUN_SECONDS)
+        nursery.start_soon(fleet.ask_repeatedly, POPULAR, 0.05)
+        nursery.start_soon(fleet.ask_repeatedly, DEADLY_BODY, gap)
         await trio.sleep(max(15.0, gap * 8))
         nursery.cancel_scope.cancel()
-    assert len(list_late(fleet)) <= MOST_SENDS
+    assert len(list_late(fleet)) <= MAX_ATTEMPTS
     assert not list_refused(fleet)
-    known_at = sorted(fleet.ended_at)[ENDS - 1] + KNOWN_SECONDS * 2
-    later = [s for s in fleet.seen if s.body == POPULAR and s.sent_at > known_at]
+    known_at = sorted(fleet.crashed_at)[CRASHES - 1] + PROPAGATION_SECONDS * 2
+    later = [s for s in fleet.results if s.body == POPULAR and s.sent_at > known_at]
     assert {s.status for s in later} <= {200}
 
 
-async def test_it_is_known_after_all_instances_have_ended_together(
+async def test_quarantine_survives_a_restart_of_all_instances(
     autojump_clock: object,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(nursery, 6, 5, FLAT_LAG, WORK)
-        nursery.start_soon(fleet.ask_often, DEADLY_BODY, 0.4)
+        fleet = Fleet(nursery, 6, 5, FULL_MESH_LAG, RUN_SECONDS)
+        nursery.start_soon(fleet.ask_repeatedly, DEADLY_BODY, 0.4)
         await trio.sleep(8.0)
         fleet.start_instances(6)
         await trio.sleep(2.0)
-        ended = len(fleet.ended_at)
+        ended = len(fleet.crashed_at)
         await trio.sleep(20.0)
         nursery.cancel_scope.cancel()
-    assert len(fleet.ended_at) == ended
+    assert len(fleet.crashed_at) == ended
 
 
-async def test_those_that_were_cut_off_know_it_when_they_are_back(
+async def test_partitioned_instances_quarantine_a_request_once_reconnected(
     autojump_clock: object,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(nursery, 6, 8, FLAT_LAG, WORK)
-        fleet.cut = {"i0", "i1", "i2"}
+        fleet = Fleet(nursery, 6, 8, FULL_MESH_LAG, RUN_SECONDS)
+        fleet.partitioned = {"i0", "i1", "i2"}
         for number in (3, 4, 5, 3):
             await fleet.ask(number, DEADLY_BODY)
             await trio.sleep(0.4)
         await trio.sleep(SETTLING_SECONDS)
-        name = identify(make_call(body=DEADLY_BODY))
+        name = compute_fingerprint(make_call(body=DEADLY_BODY))
         assert (
             fleet.instances[5].quarantine.classify(name) is QuarantineState.QUARANTINED
         )
         assert fleet.instances[0].quarantine.classify(name) is QuarantineState.FREE
-        fleet.heal()
+        fleet.reconnect()
         for instance in fleet.instances:
             assert instance.quarantine.classify(name) is QuarantineState.QUARANTINED
         nursery.cancel_scope.cancel()
@@ -100,39 +105,39 @@
 
 @pytest.mark.parametrize(
     ("instances", "servers", "lag"),
-    [(6, 5, FLAT_LAG), (78, 24, GROUP_LAG)],
+    [(6, 5, FULL_MESH_LAG), (78, 24, GROUP_LAG)],
 )
 @pytest.mark.parametrize("seed", range(3))
-async def test_no_harmless_request_is_quarantined_however_many_servers_end(
+async def test_no_harmless_request_is_quarantined_when_many_servers_crash(
     instances: int, servers: int, lag: float, seed: int, autojump_clock: object
 ) -> None:
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(nursery, instances, servers, lag, WORK, LONG_OBJECTIVE)
-        nursery.start_soon(fleet.ask_often, POPULAR, 0.05)
-        nursery.start_soon(fleet.ask_often, b"long", 1.0, 20.0)
+        fleet = Fleet(nursery, instances, servers, lag, RUN_SECONDS, LONG_OBJECTIVE)
+        nursery.start_soon(fleet.ask_repeatedly, POPULAR, 0.05)
+        nursery.start_soon(fleet.ask_repeatedly, b"long", 1.0, 20.0)
         for number in range(4):
-            nursery.start_soon(fleet.ask_often, b"rare %d" % number, 5.0 + number)
+            nursery.start_soon(fleet.ask_repeatedly, b"rare %d" % number, 5.0 + number)
         for _ in range(20):
             names = sorted(fleet.servers)
-            fleet.end(rng.sample(names, round(len(names) * 0.34)))
-            await trio.sleep(HERD_SECONDS)
+            fleet.crash(rng.sample(names, round(len(names) * 0.34)))
+            await trio.sleep(CRASH_INTERVAL_SECONDS)
         nursery.cancel_scope.cancel()
     assert not list_refused(fleet)
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_no_harmless_request_is_quarantined_where_servers_end_one_by_one(
+async def test_no_harmless_request_is_quarantined_when_servers_crash_one_by_one(
     seed: int, autojump_clock: object
 ) -> None:
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(nursery, 6, 5, FLAT_LAG, WORK, LONG_OBJECTIVE)
-        nursery.start_soon(fleet.ask_often, POPULAR, 0.05)
-        nursery.start_soon(fleet.ask_often, b"long", 1.0, 20.0)
+        fleet = Fleet(nursery, 6, 5, FULL_MESH_LAG, RUN_SECONDS, LONG_OBJECTIVE)
+        nursery.start_soon(fleet.ask_repeatedly, POPULAR, 0.05)
+        nursery.start_soon(fleet.ask_repeatedly, b"long", 1.0, 20.0)
         for _ in range(60):
             if fleet.servers:
-                fleet.end([rng.choice(sorted(fleet.servers))])
+                fleet.crash([rng.choice(sorted(fleet.servers))])
             await trio.sleep(rng.uniform(0.3, 2.0))
         nursery.cancel_scope.cancel()
     assert not list_refused(fleet)
--- a/tests/test_requests_that_end_servers.py
+++ b/tests/test_requests_that_crash_servers.py
@@ -29,26 +29,26 @@
 import pytest
 import trio
 
-from tests.endings import DEADLY_BODY, HARMLESS_BODY, World
+from tests.crashingservers import DEADLY_BODY, HARMLESS_BODY, World
 
 # News of the third end has to have reached all instances by then (seconds), and so many
 # sends may still be on their way to instances that are out of touch.
-KNOWN_SECONDS = 3.0
-MOST_SENDS = 3
+PROPAGATION_SECONDS = 3.0
+MAX_ATTEMPTS = 3
 DEADLY_GAP_SECONDS = 0.4
 OTHERS_GAP_SECONDS = 0.05
 PLAY_SECONDS = 10.0
-ENDS = 3
+CRASHES = 3
 
 
-async def test_it_is_known_when_all_instances_have_ended_together(
+async def test_quarantine_survives_a_crash_of_all_instances(
     tmp_path: Path,
 ) -> None:
     world = World(tmp_path, 3, 5, lambda body: body == DEADLY_BODY)
 
     async def send(count: int) -> None:
         for number in range(count):
-            await world.note(number % 3, DEADLY_BODY)
+            await world.ask_and_record(number % 3, DEADLY_BODY)
             await trio.sleep(DEADLY_GAP_SECONDS)
 
     async def play() -> None:
@@ -60,26 +60,26 @@
         await world.wait_until_served()
         # What the store keeps is read a second after the start.
         await trio.sleep(2.0)
-        world.seen.clear()
-        ended.append(len(world.ends))
+        world.results.clear()
+        ended.append(len(world.crashes))
         await send(6)
 
     ended: list[int] = []
     await world.run(play)
-    assert ended[0] >= ENDS
-    assert len(world.ends) == ended[0]
-    assert {seen.status for seen in world.seen} == {400}
+    assert ended[0] >= CRASHES
+    assert len(world.crashes) == ended[0]
+    assert {result.status for result in world.results} == {400}
 
 
 @pytest.mark.parametrize("instances", [1, 6])
-async def test_a_request_that_has_ended_three_servers_is_sent_no_more(
+async def test_request_that_crashed_three_servers_is_not_sent_again(
     instances: int, tmp_path: Path
 ) -> None:
     world = World(tmp_path, instances, 8, lambda body: body == DEADLY_BODY)
 
     async def send(body: bytes, gap: float, nursery: trio.Nursery) -> None:
         for number in range(round(PLAY_SECONDS / gap)):
-            nursery.start_soon(world.note, number % instances, body)
+            nursery.start_soon(world.ask_and_record, number % instances, body)
             await trio.sleep(gap)
 
     async def play() -> None:
@@ -88,15 +88,15 @@
             nursery.start_soon(send, DEADLY_BODY, DEADLY_GAP_SECONDS, nursery)
 
     await world.run(play)
-    known_at = world.ends[ENDS - 1].at + KNOWN_SECONDS
+    known_at = world.crashes[CRASHES - 1].at + PROPAGATION_SECONDS
     late = [a for a in world.arrivals if a.body == DEADLY_BODY and a.at > known_at]
-    assert len(late) <= MOST_SENDS, f"{len(world.ends)} servers ended"
-    others = [seen for seen in world.seen if seen.body == HARMLESS_BODY]
+    assert len(late) <= MAX_ATTEMPTS, f"{len(world.crashes)} servers ended"
+    others = [result for result in world.results if result.body == HARMLESS_BODY]
     # Each of them is answered whole soon after: nothing is refused wrongly, and none is
     # sent to a server that the deadly one ends.
     assert {s.status for s in others if s.sent_at > known_at} == {200}
     assert not [s for s in others if s.status // 100 == 4]
     # The client is told at once, and not to come back.
-    last = [s for s in world.seen if s.body == DEADLY_BODY and s.sent_at > known_at]
+    last = [s for s in world.results if s.body == DEADLY_BODY and s.sent_at > known_at]
     assert {s.status for s in last} == {400}
     assert {s.retry_after for s in last} == {None}
--- a/tests/test_server_backoffs.py
+++ b/tests/test_server_backoffs.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.statements import BACKOFF_SLACK, SILENT, Statement
-from tests.stating import StatingWorld, count_in_backoffs
+from tests.directives import BACKOFF_SLACK, NO_DIRECTIVE, Directive
+from tests.directiveworld import DirectiveWorld, count_during_backoffs
 
 INSTANCES = 4
 PER_SECOND = 60.0
@@ -18,38 +18,44 @@
 OVERLOADED = ("s0-0", "s1-0")
 
 
-def ask_for_backoff(server_id: str, at: float) -> Statement:
+def ask_for_backoff(server_id: str, at: float) -> Directive:
     is_overloaded = server_id in OVERLOADED and BEGINS_AT <= at < ENDS_AT
-    return Statement(503, backoff=BACKOFF_SECONDS) if is_overloaded else SILENT
+    return Directive(503, backoff=BACKOFF_SECONDS) if is_overloaded else NO_DIRECTIVE
 
 
-async def test_a_server_that_asked_for_a_backoff_is_left_alone(tmp_path: Path) -> None:
+async def test_server_gets_no_requests_during_its_backoff(tmp_path: Path) -> None:
     """Two of four reject all; the requests of callers go to the others at once."""
-    world = StatingWorld(tmp_path, INSTANCES, 4, ask_for_backoff)
-    await world.run(lambda: world.press(PER_SECOND, PLAY_SECONDS, ends=None))
-    assert world.stated
-    assert count_in_backoffs(world.reached, world.stated) <= BACKOFF_SLACK
-    assert {seen.status for seen in world.seen} == {200}
-    later = {r.server for r in world.reached if r.at > world.begun_at + ENDS_AT + 3.5}
+    world = DirectiveWorld(tmp_path, INSTANCES, 4, ask_for_backoff)
+    await world.run(
+        lambda: world.send_requests(PER_SECOND, PLAY_SECONDS, side_task=None)
+    )
+    assert world.directives
+    assert count_during_backoffs(world.received, world.directives) <= BACKOFF_SLACK
+    assert {result.status for result in world.results} == {200}
+    later = {
+        r.server for r in world.received if r.at > world.started_at + ENDS_AT + 3.5
+    }
     assert later >= set(OVERLOADED)
 
 
 @pytest.mark.parametrize("backoff", [3.0])
-async def test_callers_learn_when_to_come_back_if_all_servers_ask_for_a_backoff(
+async def test_retry_after_covers_the_backoff_if_all_servers_ask_for_one(
     backoff: float, tmp_path: Path
 ) -> None:
-    def reject(server_id: str, at: float) -> Statement:
-        return Statement(503, backoff=backoff) if BEGINS_AT <= at < 4.0 else SILENT
-
-    world = StatingWorld(tmp_path, 2, 2, reject)
-    await world.run(lambda: world.press(40.0, 4.0, ends=None))
-    assert count_in_backoffs(world.reached, world.stated) <= BACKOFF_SLACK
+    def reject(server_id: str, at: float) -> Directive:
+        return (
+            Directive(503, backoff=backoff) if BEGINS_AT <= at < 4.0 else NO_DIRECTIVE
+        )
+
+    world = DirectiveWorld(tmp_path, 2, 2, reject)
+    await world.run(lambda: world.send_requests(40.0, 4.0, side_task=None))
+    assert count_during_backoffs(world.received, world.directives) <= BACKOFF_SLACK
     refused = [
-        seen
-        for seen in world.seen
-        if seen.status == 503 and seen.sent_at > world.begun_at + BEGINS_AT + 0.5
+        result
+        for result in world.results
+        if result.status == 503 and result.sent_at > world.started_at + BEGINS_AT + 0.5
     ]
     assert refused
-    for seen in refused:
-        ends_at = BEGINS_AT + world.begun_at + backoff
-        assert seen.sent_at + float(seen.retry_after or 0) >= ends_at - 0.5
+    for result in refused:
+        ends_at = BEGINS_AT + world.started_at + backoff
+        assert result.sent_at + float(result.retry_after or 0) >= ends_at - 0.5
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -8,14 +8,14 @@
 import pytest
 import trio
 
-from tests.statements import (
+from tests.directives import (
     LIMIT_SHARE,
     LIMIT_SLACK,
     LIMIT_WINDOW_SECONDS,
-    SILENT,
-    Statement,
+    NO_DIRECTIVE,
+    Directive,
 )
-from tests.stating import StatingWorld, count_fullest_window, group_by_server
+from tests.directiveworld import DirectiveWorld, count_fullest_window, group_by_server
 
 RATE = 1.5
 BOUND = LIMIT_SHARE * RATE * LIMIT_WINDOW_SECONDS + LIMIT_SLACK
@@ -28,17 +28,17 @@
 LIMITED = "s0-0"
 
 
-def name_limit(server_id: str, at: float) -> Statement:
+def name_limit(server_id: str, at: float) -> Directive:
     is_limited = server_id == LIMITED and NAMED_FROM <= at < LIFTED_AT
-    return Statement(limit=RATE) if is_limited else SILENT
+    return Directive(limit=RATE) if is_limited else NO_DIRECTIVE
 
 
 @pytest.mark.parametrize("ends", [None, 0, 5])
-async def test_all_instances_together_keep_the_limit_that_a_server_names(
+async def test_all_instances_together_keep_to_a_servers_rate_limit(
     ends: int | None, tmp_path: Path
 ) -> None:
     """Also while one of them ends and begins anew; no caller pays for it."""
-    world = StatingWorld(tmp_path, INSTANCES, SERVERS, name_limit)
+    world = DirectiveWorld(tmp_path, INSTANCES, SERVERS, name_limit)
 
     async def end() -> None:
         assert ends is not None
@@ -47,15 +47,17 @@
         world.instances[ends].start()
 
     async def play() -> None:
-        await world.press(PER_SECOND, PLAY_SECONDS, ends=None if ends is None else end)
+        await world.send_requests(
+            PER_SECOND, PLAY_SECONDS, side_task=None if ends is None else end
+        )
 
     await world.run(play)
-    limited = group_by_server(world.reached)[LIMITED]
-    until = world.begun_at + LIFTED_AT
+    limited = group_by_server(world.received)[LIMITED]
+    until = world.started_at + LIFTED_AT
     if ends is not None:
-        limited = [one for one in limited if one.instance != ends]
-    assert count_fullest_window(limited, world.stated, until) <= BOUND
+        limited = [request for request in limited if request.instance != ends]
+    assert count_fullest_window(limited, world.directives, until) <= BOUND
     if ends is None:
-        assert {seen.status for seen in world.seen} == {200}
+        assert {result.status for result in world.results} == {200}
     # Once it names no limit any more, it gets its part of the requests again.
-    assert sum(1 for one in limited if one.at > until + 1.0) > 4 * RATE * 3
+    assert sum(1 for request in limited if request.at > until + 1.0) > 4 * RATE * 3
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -106,13 +106,13 @@
         (6, 5, StartOrder.OLDER),
     ],
 )
-def test_starts_are_told_apart(
+def test_starts_compare_by_their_time(
     known: int | None, told: int | None, order: StartOrder
 ) -> None:
     assert compare_starts(known, told) is order
 
 
-def test_an_entry_and_a_report_tell_the_start() -> None:
+def test_row_and_report_contain_the_start() -> None:
     entry = decode_server_row(make_row("a", SERVER))
     assert isinstance(entry, BackendServer)
     assert entry.started_ms == SERVER["born"]
@@ -141,7 +141,7 @@
     assert assert_forgotten(gateway).weights == {MODEL: 2}
 
 
-async def test_a_new_start_told_with_what_it_has_read() -> None:
+async def test_new_start_seen_first_in_a_cache_entry() -> None:
     gateway = make_used_gateway()
     parts = [part.id for part in PROMPT.parts[:-1]]
     gateway.servers.on_cache_entry(CacheEntry("a", SALT, parts[0], 2000))
@@ -151,7 +151,7 @@
     assert gateway.holdings.count_tokens_by_server(SALT, PROMPT, now) == {"a": 1000}
 
 
-async def test_late_word_of_the_old_start_changes_nothing() -> None:
+async def test_late_messages_about_the_old_start_change_nothing() -> None:
     gateway = make_used_gateway()
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
@@ -163,7 +163,7 @@
     assert assert_forgotten(gateway).weights == {MODEL: 1}
 
 
-async def test_two_starts_within_a_heartbeat_told_out_of_order() -> None:
+async def test_two_starts_within_a_heartbeat_reported_out_of_order() -> None:
     gateway = make_used_gateway()
     gateway.servers.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=3000))
     state = gateway.table.by_id["a"]
@@ -173,7 +173,7 @@
     assert gateway.table.by_id["a"] is state
 
 
-async def test_word_of_the_same_start_is_no_change() -> None:
+async def test_messages_about_the_same_start_reset_nothing() -> None:
     gateway = make_used_gateway()
     state = gateway.table.by_id["a"]
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
@@ -184,7 +184,7 @@
     assert gateway.rollouts._accepted == {"a": 7}
 
 
-async def test_a_server_that_never_told_its_start_learns_one_and_goes_on() -> None:
+async def test_start_reported_later_does_not_reset_a_server_without_one() -> None:
     gateway = make_gateway()
     gateway.table.update(make_server("a"), 0.0)
     state = gateway.table.by_id["a"]
@@ -195,7 +195,7 @@
     assert state.info.started_ms == 1000
 
 
-async def test_a_leaving_server_stays_so_until_its_new_entry_says_otherwise() -> None:
+async def test_draining_server_stays_draining_until_its_entry_changes() -> None:
     gateway = make_used_gateway(is_draining=True)
     gateway.table.note_start("a", 2000, 0.0, {MODEL: 2})
     assert not gateway.table.by_id["a"].is_present()
@@ -203,9 +203,7 @@
     assert gateway.table.by_id["a"].is_present()
 
 
-async def test_a_call_in_flight_at_the_old_start_counts_nothing_at_the_new_one() -> (
-    None
-):
+async def test_call_at_the_old_start_does_not_count_at_the_new_start() -> None:
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
     demand = Demand("reader", MODEL, PROMPT, "wall")
@@ -222,7 +220,7 @@
     )
 
 
-async def test_news_carry_the_start() -> None:
+async def test_updates_contain_the_start() -> None:
     notices = [["a", "m1", 2, 0.5, False, 1234, None, False]]
     holdings = [["a", "salt", "part", 1234]]
     digest = decode_news(make_news(notices=notices, holdings=holdings))
@@ -231,7 +229,7 @@
     assert encode_news("i1#1", digest).notices == notices
 
 
-async def test_an_order_to_an_engine_that_starts_anew_is_given_again(
+async def test_order_is_repeated_to_an_engine_that_restarted(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(3, engines=2)
@@ -243,7 +241,7 @@
         fleet.name_version(3)
         while fleet.engines.loading["s0"] != 3:
             await trio.sleep(0.01)
-        fleet.engines.start_anew("s0")
+        fleet.engines.restart("s0")
         await run_until_current(fleet, 3, 10.0)
         nursery.cancel_scope.cancel()
     last = [o.order for o in fleet.engines.orders if o.server_id == "s0"][-1]
@@ -251,7 +249,7 @@
     fleet.assert_holders_apart()
 
 
-async def test_a_late_order_for_the_old_start_is_not_carried_out_by_the_new(
+async def test_new_start_rejects_a_late_order_for_the_old_start(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1, engines=1)
@@ -264,7 +262,7 @@
         fleet.name_version(3)
         while fleet.engines.lost:
             await trio.sleep(0.01)
-        fleet.engines.start_anew("s0")
+        fleet.engines.restart("s0")
         await run_until_current(fleet, 3, 5.0)
         fleet.name_version(4)
         await run_until_current(fleet, 4, 10.0)
@@ -273,7 +271,7 @@
     assert fleet.engines.versions == {"s0": 4}
 
 
-async def test_late_word_of_work_at_the_old_start_is_none_at_the_new() -> None:
+async def test_late_peer_load_of_the_old_start_is_ignored() -> None:
     """Peers that had not heard of it told their old work for up to 1.5 s more."""
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
@@ -291,7 +289,7 @@
     assert gateway.table.sum_load("a", 0.7) == Load(2)
 
 
-async def test_a_connection_to_the_old_start_is_not_kept_for_the_new() -> None:
+async def test_connection_to_the_old_start_is_not_reused_for_the_new() -> None:
     """It was in use when the new start was heard of, and given back afterwards."""
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
@@ -302,7 +300,7 @@
     assert gateway.pool.count_idle(new.owner) == 0
 
 
-async def test_a_failed_order_to_the_old_start_gives_the_new_no_pause(
+async def test_failed_order_to_the_old_start_does_not_pause_the_new(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1, engines=1)
@@ -312,7 +310,7 @@
         fleet.name_version(2)
         while not fleet.engines.loading["s0"]:
             await trio.sleep(0.01)
-        fleet.engines.start_anew("s0")
+        fleet.engines.restart("s0")
         fleet.tables[0].note_start("s0", fleet.engines.born["s0"], 0.0)
         controller.forget_start("s0")
         await trio.sleep(1.0)
@@ -332,7 +330,7 @@
         super().__init__()
         self.table = make_table(make_server("a", started_ms=0))
         self.table.on_new_start = self.on_new_start
-        self.heard = 0
+        self.newest_reported = 0
         self.started = 0
         self.weights = {0: 1}
         self.restarts = 0
@@ -341,7 +339,7 @@
         self.restarts += 1
 
     @rule(older=st.integers(0, 1))
-    def start_anew(self, older: int) -> None:
+    def restart(self, older: int) -> None:
         had = self.weights[self.started]
         self.started += 1
         self.weights[self.started] = max(1, had - older)
@@ -351,22 +349,22 @@
         self.weights[self.started] += 1
 
     @rule(born=st.integers(0, 9))
-    def tell_by_entry(self, born: int) -> None:
+    def receive_row(self, born: int) -> None:
         born = min(born, self.started)
-        self.heard = max(self.heard, born)
+        self.newest_reported = max(self.newest_reported, born)
         server = make_server("a", started_ms=born, weights={MODEL: self.weights[born]})
         self.table.update(server, 0.0)
 
     @rule(born=st.integers(0, 9))
-    def tell_by_report(self, born: int) -> None:
+    def receive_report(self, born: int) -> None:
         born = min(born, self.started)
-        self.heard = max(self.heard, born)
+        self.newest_reported = max(self.newest_reported, born)
         weights = {MODEL: self.weights[born]}
         if self.table.note_start("a", born, 0.0, weights) is StartOrder.SAME:
             self.table.by_id["a"].update_weights(MODEL, self.weights[born])
 
     @rule()
-    def tell_without_a_start(self) -> None:
+    def receive_message_without_start(self) -> None:
         self.table.note_start("a", None, 0.0)
 
     @rule()
@@ -375,23 +373,23 @@
         state.load = state.load.add(Load(1))
 
     @invariant()
-    def the_newest_start_heard_of_is_believed(self) -> None:
-        assert self.table.by_id["a"].info.started_ms == self.heard
+    def newest_reported_start_is_known(self) -> None:
+        assert self.table.by_id["a"].info.started_ms == self.newest_reported
 
     @invariant()
-    def weights_are_of_that_start(self) -> None:
+    def weights_are_of_the_newest_reported_start(self) -> None:
         believed = self.table.by_id["a"].weights[MODEL]
-        assert believed <= max(self.weights[self.heard], 1)
+        assert believed <= max(self.weights[self.newest_reported], 1)
 
 
 TestStarts = StartsMachine.TestCase
 
 
-def take_all_for_new(known: int | None, told: int | None) -> StartOrder:
+def treat_all_as_newer(known: int | None, told: int | None) -> StartOrder:
     return StartOrder.SAME if known == told else StartOrder.NEWER
 
 
-def update_without_a_look(
+def update_without_comparing(
     table: ServerTable, server: BackendServer, now: float
 ) -> None:
     state = table.by_id.setdefault(server.id, ServerState(server, now))
@@ -411,13 +409,13 @@
         "late word of an older start counts",
         directory,
         "compare_starts",
-        take_all_for_new,
+        treat_all_as_newer,
     ),
     Mutant(
         "an entry is taken over as it comes",
         ServerTable,
         "update",
-        update_without_a_look,
+        update_without_comparing,
     ),
 ]
 
--- a/tests/test_serverdirectives.py
+++ b/tests/test_serverdirectives.py
@@ -24,7 +24,7 @@
         (Answer(200, (b"half",), LEAVING, BROKEN), None),
     ],
 )
-async def test_whichever_answer_says_so_its_server_leaves(
+async def test_server_leaves_whichever_answer_carries_the_header(
     answer: Answer, route: Route | None, autojump_clock: object
 ) -> None:
     bench = await run_call(answer, Answer(), route=route)
@@ -33,7 +33,7 @@
     assert leaving == [first]
 
 
-async def test_what_another_server_at_the_address_says_is_not_of_this_one(
+async def test_headers_of_another_server_at_the_address_are_ignored(
     autojump_clock: object,
 ) -> None:
     other = (*LEAVING, (b"server-limit", b"1"), (b"x-instance-id", b"other"))
@@ -46,7 +46,7 @@
 BACKOFF = ((b"retry-after", b"3"),)
 
 
-async def test_a_server_in_a_backoff_is_not_tried_even_if_it_is_the_only_one(
+async def test_only_server_is_not_tried_during_its_backoff(
     autojump_clock: object,
 ) -> None:
     """The request is refused at once, with the time at which the server is back."""
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 404, 500])
-async def test_a_time_that_is_for_the_client_closes_no_server(
+async def test_retry_after_for_the_client_excludes_no_server(
     status: int, autojump_clock: object
 ) -> None:
     bench = await run_call(Answer(status, headers=BACKOFF), route=NON_IDEMPOTENT)
@@ -69,7 +69,7 @@
     assert bench.reply.get(b"retry-after") == b"3"
 
 
-async def test_the_longest_of_several_backoffs_counts(autojump_clock: object) -> None:
+async def test_longest_of_several_backoffs_counts(autojump_clock: object) -> None:
     table = make_table(make_server("a"))
     state = table.by_id["a"]
     for seconds in (b"5", b"1"):
