--- a/ashpond/controllers/feeds.py
+++ b/ashpond/controllers/feeds.py
@@ -142,7 +142,7 @@
         era = self._store.era
         if era.is_older(update.era):
             return False
-        era.note(update.era, now, now)
+        era.apply(update.era, now, now)
         if update.is_whole and (self._version is None or update.after > self._version):
             return self._apply_full_table(update, now)
         if self._version is None or update.after > self._version:
@@ -150,7 +150,7 @@
             self._has_gap = self._version is not None
             self._wake()
             return False
-        as_of = self._clock.date_relayed(update.store_time)
+        as_of = self._clock.date_forwarded(update.store_time)
         if as_of is None or as_of > now:
             # The estimate of the store's clock is wrong: a call corrects it.
             self._has_gap = True
@@ -176,7 +176,7 @@
 
     def _apply_full_table(self, update: TableUpdate, now: float) -> bool:
         """Replace all known rows by an update's; return whether it was applied."""
-        as_of = self._clock.date_relayed(update.store_time)
+        as_of = self._clock.date_forwarded(update.store_time)
         if as_of is None or as_of > now:
             self._has_gap = self._version is not None
             self._wake()
@@ -202,7 +202,7 @@
         if self._version is None or self._has_gap or self._is_reader():
             return 0.0
         return min(
-            self._measure_until_stale(now), self._clock.asked_at + RESYNC_SECONDS - now
+            self._measure_until_stale(now), self._clock.called_at + RESYNC_SECONDS - now
         )
 
     def _measure_until_stale(self, now: float) -> float:
@@ -221,7 +221,7 @@
         feed = self.feed
         after = self._version
         had_gap = self._has_gap
-        self._clock.asked_at = trio.current_time()
+        self._clock.called_at = trio.current_time()
         # A gap that is found during the call may be newer than its answer.
         self._has_gap = False
         era_changes = self._era_changes
--- a/ashpond/gateway/store.py
+++ b/ashpond/gateway/store.py
@@ -81,7 +81,7 @@
         """Call ``listener`` with each change, once ``current`` is the new era."""
         self._listeners.append(listener)
 
-    def note(self, era: int | None, sent_at: float, now: float) -> bool:
+    def apply(self, era: int | None, sent_at: float, now: float) -> bool:
         """Take the era of an answer; return whether the answer is of the present one.
 
         An answer that names none is believed to be: stores that tell no era keep what
@@ -140,7 +140,7 @@
     """
 
     def __init__(self) -> None:
-        self.asked_at = float("-inf")
+        self.called_at = float("-inf")
         self._offset: float | None = None
 
     def date(self, snapshot: Snapshot) -> float:
@@ -153,7 +153,7 @@
         self._offset = max(self._offset, offset)
         return snapshot.store_time + self._offset
 
-    def date_relayed(self, store_time: float) -> float | None:
+    def date_forwarded(self, store_time: float) -> float | None:
         """Return the same for an answer to another instance, if it can be told."""
         return None if self._offset is None else store_time + self._offset
 
--- a/ashpond/standins/tables.py
+++ b/ashpond/standins/tables.py
@@ -56,7 +56,7 @@
         era = StoreEra()
 
         def note(sent_at: float) -> bool:
-            return era.note(self.era, sent_at, trio.current_time())
+            return era.apply(self.era, sent_at, trio.current_time())
 
         async def read(table: str) -> Done | Unavailable | Unknown:
             sent_at = trio.current_time()
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -112,7 +112,7 @@
         await trio.sleep(0.1)
         restore_after_lost_writes(store)
         store.put("t", "a", b"2")
-        other.follower._store.era.note(store.era, trio.current_time(), 0.0)
+        other.follower._store.era.apply(store.era, trio.current_time(), 0.0)
         await trio.sleep(RESTORE_TIMEOUT_SECONDS + 0.1)
         assert other.rows == {"a": b"2"}
 
@@ -130,7 +130,7 @@
         await trio.sleep(0.8)
         # Another call of this instance reports the next restore during a call.
         store.return_from(store.take_copy())
-        followed.follower._store.era.note(store.era, trio.current_time(), 0.0)
+        followed.follower._store.era.apply(store.era, trio.current_time(), 0.0)
         store.answer_seconds = 0.004
         await trio.sleep(0.05)
         assert followed.rows == {"a": b"1"}
@@ -224,15 +224,15 @@
     era = StoreEra()
     seen: list[int | None] = []
     era.on_change(lambda: seen.append(era.current))
-    assert era.note(None, 0.0, 0.1)
-    assert era.note(3, 0.0, 0.1)
+    assert era.apply(None, 0.0, 0.1)
+    assert era.apply(3, 0.0, 0.1)
     assert seen == []
-    assert era.note(4, 1.0, 5.0)
+    assert era.apply(4, 1.0, 5.0)
     # Sent before the change was seen and naming the earlier era: a late answer.
-    assert not era.note(3, 4.0, 6.0)
-    assert era.note(None, 4.0, 6.0)
+    assert not era.apply(3, 4.0, 6.0)
+    assert era.apply(None, 4.0, 6.0)
     # Sent after the change: the store was restored to an earlier era.
-    assert era.note(2, 6.0, 7.0)
+    assert era.apply(2, 6.0, 7.0)
     assert seen == [4, 2]
     assert era.changes == 2
 
