--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -28,10 +28,10 @@
 from ashpond.gateway.admission import admit_call
 from ashpond.gateway.callprogress import Tools, identify_call
 from ashpond.gateway.calls import IncomingCall, Reply
+from ashpond.gateway.cleanup import run_cleanup
 from ashpond.gateway.connectionlog import ConnectionLog
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.dispatch import Dispatcher
-from ashpond.gateway.housekeeping import keep_house
 from ashpond.gateway.ingress import Ingress, IngressPorts
 from ashpond.gateway.metrics import GatewayMetrics
 from ashpond.gateway.ports import Platform
@@ -56,7 +56,7 @@
 # From SIGTERM until new connections stop arriving: two checks, a second apart.
 LEAVE_SECONDS = 2.6
 # For a slow store to take this instance off the list of members.
-LEAVE_LIST_SECONDS = 1.0
+LEAVE_MEMBERS_SECONDS = 1.0
 # Kept back from the grace period for the end of the process (seconds).
 GRACE_MARGIN_SECONDS = 0.4
 # The settings file may change without a signal; it is read again so often.
@@ -81,27 +81,29 @@
         self.rng = random.Random()
         self.metrics = GatewayMetrics()
         self.invalid_rows = InvalidRows(log, self.metrics.count_invalid_row)
-        self.ends = CrashDetector(
+        self.crash_detector = CrashDetector(
             lambda server: pool.check(server.owner, server.address),
             log.note,
             lambda lost: self.quarantine.note_lost(lost),
-            lambda server: self.servers.on_connection_refused(server),
+            lambda server: self.server_updates.on_connection_refused(server),
             lambda: (state.watched for state in self.table.by_id.values()),
         )
-        self.view = StoreView(
+        self.store_view = StoreView(
             platform,
             log,
             self.invalid_rows,
             self._on_configuration,
             self._on_servers,
             lambda: self.rollouts.note_change(),
-            lambda state: self.servers.on_entry_gone(state),
+            lambda state: self.server_updates.on_entry_gone(state),
         )
         self.quarantine = Quarantine(
             settings.name,
-            CrashRecords(settings.bounds.quarantine_s, self.ends.measure_hazard),
+            CrashRecords(
+                settings.bounds.quarantine_s, self.crash_detector.measure_hazard
+            ),
             platform.store,
-            self.view.clock,
+            self.store_view.clock,
             log,
             self.metrics,
             self.invalid_rows,
@@ -109,22 +111,22 @@
             lambda: self.news.is_reader,
             lambda: list(self.members.by_name),
         )
-        self.knowledge = self.view.knowledge
-        self.table = self.view.table
-        self.holdings = CacheIndex()
-        self.stores = CacheStores(
+        self.knowledge = self.store_view.knowledge
+        self.table = self.store_view.table
+        self.cache_index = CacheIndex()
+        self.cache_stores = CacheStores(
             lambda: self.news.is_reader, lambda news: self.news.publish(news)
         )
-        self.budgets = RetryBudgets(
+        self.retry_budgets = RetryBudgets(
             lambda: self.settings.bounds,
             lambda: self.news,
             lambda: self.members.count(),
         )
-        self.leaving = trio.Event()
-        self.places = ReservationQueue(
+        self.leave_event = trio.Event()
+        self.reservations = ReservationQueue(
             self.table,
-            self.holdings,
-            self.stores,
+            self.cache_index,
+            self.cache_stores,
             settings.failure_domain,
             lambda: self.knowledge.declaration,
             self.knowledge.find_required_version,
@@ -132,27 +134,27 @@
             self.rng,
             lambda: bool(self.news.links.group),
         )
-        self.statements = ServerDirectives(
+        self.directives = ServerDirectives(
             self.table,
             log,
-            self.metrics.count_statement,
+            self.metrics.count_directive,
             lambda notice: self.news.announce(notice),
             self.rng,
             lambda state, before: self.permits.on_limit(state, before),
             lambda: self.rollouts.note_change(),
         )
-        self.servers = ServerUpdates(
+        self.server_updates = ServerUpdates(
             self.table,
-            self.holdings,
+            self.cache_index,
             pool,
-            self.ends,
+            self.crash_detector,
             log,
-            self.statements,
+            self.directives,
             lambda: self.news,
             lambda: self.rollouts,
-            self.places.assign,
+            self.reservations.assign,
         )
-        self.table.on_new_start = self.servers.on_new_start
+        self.table.on_new_start = self.server_updates.on_new_start
         self.members = Members(
             Member(
                 settings.name,
@@ -183,12 +185,12 @@
             self.table,
             log,
             NewsHandlers(
-                self.servers.on_notice,
-                self.servers.on_cache_entry,
-                self.budgets.list_own,
-                self.budgets.note_peer,
-                self.budgets.keep_peers,
-                self._on_table,
+                self.server_updates.on_notice,
+                self.server_updates.on_cache_entry,
+                self.retry_budgets.list_own,
+                self.retry_budgets.note_peer,
+                self.retry_budgets.keep_peers,
+                self._apply_table_update,
                 self.quarantine.merge_reported,
                 self.quarantine.list_for_new_peer,
                 self.allowances.serve,
@@ -200,7 +202,7 @@
             feed.table: Follower(
                 feed,
                 platform.store,
-                self.view.clock,
+                self.store_view.clock,
                 log,
                 lambda: self.news.is_reader,
                 self.news.publish,
@@ -212,13 +214,13 @@
             self.table,
             self.knowledge,
             platform.store,
-            self.view.clock,
+            self.store_view.clock,
             platform.engines,
             log,
             lambda: list(self.members.by_name),
             self.news.announce,
-            self.places.assign,
-            self.budgets.measure_left,
+            self.reservations.assign,
+            self.retry_budgets.measure_left,
             settings.bounds.lease_ms / MS,
             lambda: self.news.measure_lag(),
             self.invalid_rows,
@@ -226,20 +228,20 @@
         )
         self.dispatcher = Dispatcher(
             Tools(
-                self.places,
+                self.reservations,
                 pool,
                 platform.codec,
                 platform.id_header,
                 self.knowledge,
                 log,
-                self.budgets.get,
+                self.retry_budgets.get,
                 self.members.count,
-                self.servers.note_cached_prompt,
+                self.server_updates.note_cached_prompt,
                 lambda call, team: identify_call(self.members.secret, call, team),
-                self.ends,
-                self.statements,
+                self.crash_detector,
+                self.directives,
                 self.quarantine,
-                self.servers.announce_unreachable,
+                self.server_updates.announce_unreachable,
                 self.allowances.take,
                 self.allowances.refund,
                 self.permits.take,
@@ -248,7 +250,7 @@
             )
         )
         self.connection_log = ConnectionLog(
-            log, self.metrics, lambda: self.ingress.open_calls, self.leaving.is_set
+            log, self.metrics, lambda: self.ingress.open_calls, self.leave_event.is_set
         )
         self.ingress = Ingress(
             IngressPorts(
@@ -265,7 +267,7 @@
             self.quarantine.clear,
             self.connection_log.note_cut,
             self.connection_log.note_closed,
-            self.connection_log.note_trouble,
+            self.connection_log.note_error,
         )
 
     @property
@@ -286,15 +288,15 @@
                 nursery.start_soon(follower.run)
             nursery.start_soon(self.news.run)
             nursery.start_soon(self.allowances.run)
-            nursery.start_soon(self.ends.run)
+            nursery.start_soon(self.crash_detector.run)
             watch = SuspensionWatch(self.log, self.metrics.observe_suspension)
             nursery.start_soon(watch.run)
             nursery.start_soon(self.quarantine.run)
             nursery.start_soon(self.rollouts.run)
-            nursery.start_soon(keep_house, self)
+            nursery.start_soon(run_cleanup, self)
             nursery.start_soon(self._watch_settings)
             nursery.start_soon(
-                self.stores.follow,
+                self.cache_stores.follow,
                 self._list_cache_stores,
                 self.platform.engines,
                 self.log,
@@ -309,7 +311,7 @@
 
     def _build_feeds(self) -> list[Feed]:
         bound = self.settings.bounds.revocation_ms / MS
-        return build_feeds(self.platform, self.view, self.members, bound)
+        return build_feeds(self.platform, self.store_view, self.members, bound)
 
     def _list_cache_stores(self) -> tuple[CacheStore, ...]:
         declaration = self.knowledge.declaration
@@ -319,7 +321,7 @@
         self.ingress.apply_limits()
 
     def _on_servers(self) -> None:
-        self.places.assign()
+        self.reservations.assign()
         self.rollouts.note_change()
 
     def _find_required_version(self, model: str, now: float) -> int:
@@ -330,9 +332,9 @@
         declaration = self.knowledge.declaration
         return declaration is not None and service in declaration.services
 
-    def _on_table(self, news: TableUpdate) -> bool:
+    def _apply_table_update(self, news: TableUpdate) -> bool:
         if news.table.startswith(EVENTS_PREFIX):
-            return self.stores.apply_update(news)
+            return self.cache_stores.apply_update(news)
         follower = self.followers.get(news.table)
         return follower is not None and follower.apply_update(news)
 
@@ -343,7 +345,7 @@
     def is_ready(self) -> bool:
         """Return whether clients should come here."""
         is_informed = self.knowledge.declaration and self.table.is_known
-        if self.leaving.is_set() or not is_informed:
+        if self.leave_event.is_set() or not is_informed:
             return False
         age = self.knowledge.measure_age(trio.current_time())
         return age < self.settings.bounds.revocation_ms / MS * READY_SHARE
@@ -364,7 +366,7 @@
             await send_refusal(reply, accepted)
             return
         await self.dispatcher.dispatch(call, accepted, reply)
-        self.metrics.observe(accepted.route.kind, trio.current_time() - now)
+        self.metrics.observe_latency(accepted.route.kind, trio.current_time() - now)
 
     async def _watch_settings(self) -> None:
         while True:
@@ -378,7 +380,7 @@
             self.log.note("settings_refused", problems=str(error))
             return
         if has_changed:
-            self.budgets.reset()
+            self.retry_budgets.reset()
             keep = self.settings.bounds.quarantine_s
             self.quarantine.crash_records.keep_seconds = keep
             for feed in self._build_feeds():
@@ -389,12 +391,12 @@
         """Take no new connections, end what is in flight, then stop."""
         self.log.note("stopping", open_calls=self.ingress.open_calls)
         self.ingress.is_leaving = True
-        self.leaving.set()
+        self.leave_event.set()
 
     async def _wait_to_close(self) -> None:
-        await self.leaving.wait()
+        await self.leave_event.wait()
         # Counted from here, whatever the store takes: the grace period is.
         closes_at = trio.current_time() + LEAVE_SECONDS
-        with trio.move_on_after(LEAVE_LIST_SECONDS):
+        with trio.move_on_after(LEAVE_MEMBERS_SECONDS):
             await self.members.leave()
         await trio.sleep_until(closes_at)
--- a/ashpond/gateway/connectionlog.py
+++ b/ashpond/gateway/connectionlog.py
@@ -19,7 +19,7 @@
 # Stalls of the event loop from this length on leave a line (seconds).
 LOGGED_DELAY_SECONDS = 0.05
 # Ends of idle connections that need no line.
-QUIET_ENDS = (ClosedBy.CLIENT, ClosedBy.LAST_ANSWER)
+UNLOGGED_CAUSES = (ClosedBy.CLIENT, ClosedBy.LAST_ANSWER)
 
 
 class ConnectionLog:
@@ -60,7 +60,7 @@
     def note_closed(self, closed: Closed) -> None:
         """Record the end of a connection."""
         self._metrics.count_closed(closed.by)
-        if closed.by in QUIET_ENDS and not closed.has_call:
+        if closed.by in UNLOGGED_CAUSES and not closed.has_call:
             return
         self._log.note(
             "connection_closed",
@@ -73,7 +73,7 @@
             loop_delay=self.watch.describe(),
         )
 
-    def note_trouble(self, event: str, error: BaseException) -> None:
+    def note_error(self, event: str, error: BaseException) -> None:
         """Record an error at accepting or ending connections."""
         self._log.note(event, error=repr(error))
 
--- a/ashpond/gateway/ingress.py
+++ b/ashpond/gateway/ingress.py
@@ -26,7 +26,7 @@
 RELEASE_PATH = b"/quarantine/release"
 METRICS_TYPE = b"text/plain; version=0.0.4"
 
-Handle = Callable[[IncomingCall, Reply], Awaitable[None]]
+CallHandler = Callable[[IncomingCall, Reply], Awaitable[None]]
 
 
 def _strip_authority(target: bytes) -> bytes:
@@ -77,15 +77,15 @@
         self,
         ports: IngressPorts,
         codec: Codec,
-        handle: Handle,
+        handle: CallHandler,
         get_limits: Callable[[], IngressLimits],
         is_ready: Callable[[], bool],
         render_metrics: Callable[[], bytes],
         render_status: Callable[[], bytes],
-        release: Callable[[str], bool] = lambda fingerprint: False,
+        release_quarantined: Callable[[str], bool] = lambda fingerprint: False,
         note_cut: Callable[[CutCall], None] = lambda cut: None,
         note_closed: Callable[[Closed], None] = lambda closed: None,
-        note_trouble: Callable[[str, BaseException], None] = lambda event, error: None,
+        note_error: Callable[[str, BaseException], None] = lambda event, error: None,
     ):
         self.is_leaving = False
         self.open_calls = 0
@@ -95,7 +95,7 @@
         self._is_ready = is_ready
         self._render_metrics = render_metrics
         self._render_status = render_status
-        self._release = release
+        self._release_quarantined = release_quarantined
         self._note_cut = note_cut
         # Of equal addresses the later ones go before the earlier.
         handlers = {
@@ -108,7 +108,7 @@
             self._get_connection_limits,
             lambda: self.is_leaving,
             note_closed,
-            note_trouble,
+            note_error,
         )
 
     async def run(
@@ -141,7 +141,7 @@
             return
         path = exchange.target.partition(b"?")[0]
         if path == RELEASE_PATH and exchange.method == "POST":
-            is_released = self._release(body.decode("latin-1"))
+            is_released = self._release_quarantined(body.decode("latin-1"))
             refusal = Refusal(200 if is_released else 404, "release", str(is_released))
             await send_refusal(exchange, refusal)
             return
@@ -209,7 +209,7 @@
         :raises Exception: what the handler raised.
         """
 
-        async def cancel_when_gone() -> None:
+        async def cancel_when_client_leaves() -> None:
             await exchange.wait_until_gone()
             nursery.cancel_scope.cancel()
 
@@ -217,7 +217,7 @@
         failure: str | None = None
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(cancel_when_gone)
+                nursery.start_soon(cancel_when_client_leaves)
                 await self._handle(call, exchange)
                 nursery.cancel_scope.cancel()
             by = CutBy.CLIENT if exchange.is_client_gone else None
@@ -226,9 +226,9 @@
             raise
         finally:
             if by is not None and not exchange.is_finished:
-                self._tell_cut(call, exchange, by, failure)
+                self._report_cut(call, exchange, by, failure)
 
-    def _tell_cut(
+    def _report_cut(
         self, call: IncomingCall, exchange: Exchange, by: CutBy, failure: str | None
     ) -> None:
         cut = CutCall(
--- a/ashpond/gateway/metrics.py
+++ b/ashpond/gateway/metrics.py
@@ -9,7 +9,7 @@
 LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0]
 SUSPENSION_BUCKETS = [0.1, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0]
 # So many teams have a series of their own; the others share one.
-MOST_TEAMS = 50
+MAX_TEAM_SERIES = 50
 OTHER_TEAMS = "(others)"
 DELAY_BUCKETS = [0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5]
 
@@ -35,7 +35,7 @@
             "Calls that ended before their answer did, by cause",
             registry=self.registry,
         )
-        self.closed = Counter(
+        self.closed_connections = Counter(
             "ashpond_gateway_connections_closed",
             "Clients' connections that have ended, by cause",
             registry=self.registry,
@@ -50,7 +50,7 @@
             "Requests that were quarantined, as they end servers",
             registry=self.registry,
         )
-        self.statements = Counter(
+        self.directives = Counter(
             "ashpond_gateway_server_statements",
             "What servers newly said of themselves in answers, by kind",
             registry=self.registry,
@@ -65,7 +65,7 @@
             "What teams asked for here, in the units of their limits, by outcome",
             registry=self.registry,
         )
-        self._teams: set[str] = set()
+        self._teams_with_series: set[str] = set()
         self.suspensions = Histogram(
             "ashpond_gateway_suspended_seconds",
             "Times for which the machine was suspended",
@@ -85,7 +85,7 @@
 
     def count_closed(self, cause: str) -> None:
         """Count the end of one connection."""
-        self.closed.inc({"cause": str(cause)})
+        self.closed_connections.inc({"cause": str(cause)})
 
     def count_invalid_row(self, table: str) -> None:
         """Count one version of a row that cannot be read."""
@@ -95,9 +95,9 @@
         """Count one request that has been quarantined."""
         self.quarantined.inc({})
 
-    def count_statement(self, kind: str) -> None:
+    def count_directive(self, kind: str) -> None:
         """Count what a server has newly said of itself."""
-        self.statements.inc({"kind": kind})
+        self.directives.inc({"kind": kind})
 
     def count_permit(self, outcome: str) -> None:
         """Count one permit that was asked for."""
@@ -105,9 +105,9 @@
 
     def count_allowance(self, team: str, cost: int, is_granted: bool) -> None:
         """Count what a team asked for."""
-        if len(self._teams) < MOST_TEAMS:
-            self._teams.add(team)
-        name = team if team in self._teams else OTHER_TEAMS
+        if len(self._teams_with_series) < MAX_TEAM_SERIES:
+            self._teams_with_series.add(team)
+        name = team if team in self._teams_with_series else OTHER_TEAMS
         outcome = "granted" if is_granted else "refused"
         self.allowances.add({"team": name, "outcome": outcome}, cost)
 
@@ -123,7 +123,7 @@
         """Count one refusal."""
         self.refusals.inc({"kind": kind})
 
-    def observe(self, kind: str, seconds: float) -> None:
+    def observe_latency(self, kind: str, seconds: float) -> None:
         """Take the time of one call."""
         self.latency.observe({"kind": str(kind)}, seconds)
 
--- a/ashpond/gateway/settings.py
+++ b/ashpond/gateway/settings.py
@@ -28,8 +28,8 @@
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Milliseconds = Annotated[float, Meta(ge=0, le=86_400_000)]
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
-FAULT_PATH = re.compile(r"^(?P<reason>.*?)(?: - at `\$\.?(?P<key>.*)`)?$")
-MISSING = re.compile(r"Object missing required field `(?P<key>.*)`")
+ERROR_PATTERN = re.compile(r"^(?P<reason>.*?)(?: - at `\$\.?(?P<key>.*)`)?$")
+MISSING_PATTERN = re.compile(r"Object missing required field `(?P<key>.*)`")
 
 
 class GatewayBounds(NamedTuple):
@@ -150,18 +150,18 @@
     :raises SettingsError: naming file, key, value and reason of the first fault.
     """
     table, problems = load_toml(name, text)
-    problems = problems or _find_unknown(name, table)
+    problems = problems or _find_unknown_keys(name, table)
     if problems:
         raise SettingsError(problems)
     try:
         checked = msgspec.convert(table, SettingsTable)
     except msgspec.ValidationError as error:
-        raise SettingsError([_explain(name, table, str(error))]) from error
+        raise SettingsError([_make_problem(name, table, str(error))]) from error
     bounds = GatewayBounds(**checked.get("bounds", {}))
     return GatewaySettings(**(checked | {"bounds": bounds}))  # type: ignore[arg-type]
 
 
-def _find_unknown(name: str, table: dict[str, Any]) -> list[InputProblem]:
+def _find_unknown_keys(name: str, table: dict[str, Any]) -> list[InputProblem]:
     unknown = [key for key in table if key not in GatewaySettings._fields]
     bounds = table.get("bounds", {})
     if isinstance(bounds, dict):
@@ -169,14 +169,14 @@
     return [InputProblem(name, key, "", "unknown key") for key in unknown]
 
 
-def _explain(name: str, table: dict[str, Any], fault: str) -> InputProblem:
-    missing = MISSING.match(fault)
+def _make_problem(name: str, table: dict[str, Any], error_text: str) -> InputProblem:
+    missing = MISSING_PATTERN.match(error_text)
     if missing:
         return InputProblem(name, missing["key"], "", "this key is required")
-    found = FAULT_PATH.match(fault)
+    found = ERROR_PATTERN.match(error_text)
     key = (found["key"] if found else "") or "(file)"
     value: Any = table
     for part in key.split("."):
         value = value.get(part, "") if isinstance(value, dict) else ""
-    reason = found["reason"] if found else fault
+    reason = found["reason"] if found else error_text
     return InputProblem(name, key, repr(value)[:MAX_SHOWN], reason)
--- a/ashpond/gateway/status.py
+++ b/ashpond/gateway/status.py
@@ -24,7 +24,7 @@
     status = {
         "name": gateway.settings.name,
         "ready": gateway.is_ready(),
-        "leaving": gateway.leaving.is_set(),
+        "leaving": gateway.leave_event.is_set(),
         "configuration": declaration.version if declaration else None,
         "store_era": gateway.platform.store.era.current,
         "knowledge_age_seconds": round(age, 3) if declaration else None,
@@ -43,13 +43,13 @@
             "held_here": lease.holds(now),
             "fence": lease.fence,
         },
-        "cache_stores_up": gateway.stores.count_up(),
-        "waiting": gateway.places.waiting,
+        "cache_stores_up": gateway.cache_stores.count_up(),
+        "waiting": gateway.reservations.waiting,
         "open_calls": gateway.ingress.open_calls,
         "log_lines_dropped": dict(gateway.log.dropped),
         "repeats_left": {
             service: round(budget.measure_left(instances, now), 1)
-            for service, budget in gateway.budgets.by_service.items()
+            for service, budget in gateway.retry_budgets.by_service.items()
         },
         "servers": [
             _describe_server(gateway, state, now) for state in gateway.table.list_all()
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -72,7 +72,7 @@
     state.update_weights(MODEL, 3)
     state.load = Load(5, 100, 100)
     state.note_connect_failure(0.0)
-    gateway.servers.note_cached_prompt(state, SALT, PROMPT)
+    gateway.server_updates.note_cached_prompt(state, SALT, PROMPT)
     peer = make_table(make_server("a", started_ms=1000))
     peer.by_id["a"].load = Load(4)
     gateway.table.note_peer_loads("p", peer.list_own_loads(), 0.0)
@@ -87,7 +87,7 @@
     assert gateway.table.sum_load("a", 0.1) == Load()
     assert state.connect_failures == 0
     assert state.is_usable(0.1)
-    assert not gateway.holdings.count_tokens_by_server(
+    assert not gateway.cache_index.count_tokens_by_server(
         SALT, PROMPT, trio.current_time()
     )
     assert "a" not in gateway.rollouts._accepted
@@ -137,26 +137,28 @@
 
 async def test_a_new_start_seen_first_by_a_peer() -> None:
     gateway = make_used_gateway()
-    gateway.servers.on_notice(ServerNotice("a", MODEL, 2, 0.0, born=2000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 2, 0.0, born=2000))
     assert assert_forgotten(gateway).weights == {MODEL: 2}
 
 
 async def test_new_start_seen_first_in_a_cache_entry() -> None:
     gateway = make_used_gateway()
     parts = [part.id for part in PROMPT.parts[:-1]]
-    gateway.servers.on_cache_entry(CacheEntry("a", SALT, parts[0], 2000))
+    gateway.server_updates.on_cache_entry(CacheEntry("a", SALT, parts[0], 2000))
     now = trio.current_time()
     # Of its weights nothing was told: what its entry said last is believed.
     assert gateway.table.by_id["a"].weights == {MODEL: 1}
-    assert gateway.holdings.count_tokens_by_server(SALT, PROMPT, now) == {"a": 1000}
+    assert gateway.cache_index.count_tokens_by_server(SALT, PROMPT, now) == {"a": 1000}
 
 
 async def test_late_messages_about_the_old_start_change_nothing() -> None:
     gateway = make_used_gateway()
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
-    gateway.servers.on_notice(ServerNotice("a", MODEL, 9, 5.0, born=1000))
-    gateway.servers.on_cache_entry(CacheEntry("a", SALT, PROMPT.parts[0].id, 1000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 9, 5.0, born=1000))
+    gateway.server_updates.on_cache_entry(
+        CacheEntry("a", SALT, PROMPT.parts[0].id, 1000)
+    )
     gateway.table.update(make_server("a", started_ms=1000, weights={MODEL: 9}), 0.0)
     assert gateway.table.note_start("a", 1000, 0.0, {MODEL: 9}) is StartOrder.OLDER
     assert gateway.table.by_id["a"] is state
@@ -165,7 +167,7 @@
 
 async def test_two_starts_within_a_heartbeat_reported_out_of_order() -> None:
     gateway = make_used_gateway()
-    gateway.servers.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=3000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=3000))
     state = gateway.table.by_id["a"]
     gateway.table.update(make_server("a", started_ms=2000, is_draining=True), 0.0)
     assert gateway.table.by_id["a"] is state
@@ -177,8 +179,8 @@
     gateway = make_used_gateway()
     state = gateway.table.by_id["a"]
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
-    gateway.servers.on_notice(ServerNotice("a", MODEL, 3, 0.0, born=1000))
-    gateway.servers.on_notice(ServerNotice("a", MODEL, 3, 0.0))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 3, 0.0, born=1000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 3, 0.0))
     assert gateway.table.by_id["a"] is state
     assert state.load == Load(5, 100, 100)
     assert gateway.rollouts._accepted == {"a": 7}
@@ -188,7 +190,7 @@
     gateway = make_gateway()
     gateway.table.update(make_server("a"), 0.0)
     state = gateway.table.by_id["a"]
-    gateway.servers.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=1000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=1000))
     assert gateway.table.by_id["a"] is state
     assert state.info.started_ms == 1000
     gateway.table.update(make_server("a"), 0.0)
@@ -207,15 +209,15 @@
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
     demand = Demand("reader", MODEL, PROMPT, "wall")
-    place = await gateway.places.reserve(demand, 0, trio.current_time())
+    place = await gateway.reservations.reserve(demand, 0, trio.current_time())
     assert place is not None
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
-    place = gateway.places.note_prompt_read(place)
-    gateway.servers.note_cached_prompt(place.state, SALT, PROMPT)
-    gateway.places.release(place)
+    place = gateway.reservations.note_prompt_read(place)
+    gateway.server_updates.note_cached_prompt(place.state, SALT, PROMPT)
+    gateway.reservations.release(place)
     assert state.load == Load()
-    assert not gateway.holdings.count_tokens_by_server(
+    assert not gateway.cache_index.count_tokens_by_server(
         SALT, PROMPT, trio.current_time()
     )
 
