--- a/ashpond/filters/accounting.py
+++ b/ashpond/filters/accounting.py
@@ -16,7 +16,7 @@
     from ashpond.metrics import Metrics
 
 SERVER_ERROR = 500
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 
 
 def make_accounting(
@@ -24,17 +24,17 @@
 ) -> Filter:
     """Return the filter."""
 
-    async def account(call: Call, following: Handler) -> Reply:
+    async def count_outcome(call: Call, following: Handler) -> Reply:
         reply = await following(call)
-        call.exits.callback(settle, call, reply.status)
+        call.exits.callback(record_outcome, call, reply.status)
         return reply
 
-    def settle(call: Call, status: int) -> None:
+    def record_outcome(call: Call, status: int) -> None:
         progress = call.progress
         labels = {"service": progress.service, "status": str(status)}
         metrics.requests.inc(labels)
         service = configuration.current.services.get(progress.service)
-        if service is None or not progress.team or status == TOO_MANY:
+        if service is None or not progress.team or status == TOO_MANY_REQUESTS:
             return
         first = progress.first_token_at or trio.current_time()
         seconds = first - call.arrived
@@ -45,4 +45,4 @@
             metrics.first_token.observe({"service": progress.service}, seconds)
         burn.note(progress.service, progress.team, answered=answered, in_time=in_time)
 
-    return account
+    return count_outcome
--- a/ashpond/filters/admission.py
+++ b/ashpond/filters/admission.py
@@ -31,11 +31,11 @@
     """Return the filter."""
 
     async def admit(call: Call, following: Handler) -> Reply:
-        place = await admission.enter(call, estimate_cost(call))
-        if isinstance(place, Refusal):
-            metrics.refusals.inc({"kind": place.kind})
-            return make_refusal_reply(place)
-        call.exits.callback(admission.leave, place)
+        slot = await admission.enter(call, estimate_cost(call))
+        if isinstance(slot, Refusal):
+            metrics.refusals.inc({"kind": slot.kind})
+            return make_refusal_reply(slot)
+        call.exits.callback(admission.leave, slot)
         return await following(call)
 
     return admit
--- a/ashpond/filters/authentication.py
+++ b/ashpond/filters/authentication.py
@@ -28,13 +28,13 @@
     """
     if not header.lower().startswith(BEARER) or len(header) > MAX_KEY_LENGTH:
         return None
-    given = hash_key(header[len(BEARER) :].strip())
-    found = None
+    given_digest = hash_key(header[len(BEARER) :].strip())
+    found_team = None
     for name, team in configuration.teams.items():
         for digest in team.key_hashes:
-            if hmac.compare_digest(digest, given):
-                found = name
-    return found
+            if hmac.compare_digest(digest, given_digest):
+                found_team = name
+    return found_team
 
 
 def make_authentication(configuration: ConfigurationController) -> Filter:
--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -23,7 +23,7 @@
 from ashpond.decisions.quarantine import QuarantineState
 from ashpond.decisions.retries import GiveUp, RetryBudget, decide_retry
 from ashpond.filters.relay import StreamSource, close_response, relay_stream
-from ashpond.filters.resumption import make_cancel, resume_same
+from ashpond.filters.resumption import make_cancel, resume_on_same_engine
 from ashpond.outcomes import Answered, MaybeRun, NotRun, Refusal, RunState
 from ashpond.replies import make_refusal_reply
 from ashpond.tokens import StreamToken, make_stream_token
@@ -42,10 +42,10 @@
 STREAM_HEADER = "Ashpond-Stream"
 ATTEMPT_HEADER = "Ashpond-Attempt"
 STALL_SECONDS = 10.0
-SILENCE_CHECK_SECONDS = 0.25
+UNRESPONSIVE_CHECK_SECONDS = 0.25
 NO_SERVER_RETRY_SECONDS = 1.0
-UNAVAILABLE = 503
-FAILED = 502
+SERVICE_UNAVAILABLE = 503
+BAD_GATEWAY = 502
 OK = 200
 
 
@@ -54,7 +54,7 @@
 
     placement: Placement
     name: str
-    entry: InFlight
+    in_flight: InFlight
 
 
 class Dispatcher:
@@ -70,9 +70,9 @@
         metrics: Metrics,
         rng: random.Random,
         client: httpx.AsyncClient,
-        ends: CallQuarantine,
+        call_quarantine: CallQuarantine,
     ):
-        self._ends = ends
+        self._call_quarantine = call_quarantine
         self._settings = settings
         self._configuration = configuration
         self._engines = engines
@@ -85,14 +85,14 @@
         self._client = client
         # A connection that was closed while idle would look like a lost
         # request, which may not be sent again.
-        self._single_use = make_client(connect, STALL_SECONDS, keep_alive=False)
+        self._single_use_client = make_client(connect, STALL_SECONDS, keep_alive=False)
 
     async def dispatch(self, call: Call) -> Reply:
         """Run a call; the last step of the filter chain."""
         claim = call.claim_attempt
         if claim is not None and not self._claims.registry.mark_sent(claim):
             text = "another instance was told that this attempt will not run"
-            return make_refusal_reply(Refusal(UNAVAILABLE, "revoked", text))
+            return make_refusal_reply(Refusal(SERVICE_UNAVAILABLE, "revoked", text))
         assert call.service is not None
         budget = self._find_budget(call)
         budget.note_first_attempt()
@@ -135,9 +135,9 @@
         if run is RunState.NOT_RUN:
             wait = NO_SERVER_RETRY_SECONDS * self._rng.uniform(1, 2)
             wait = max(wait, self._engines.find_retry_wait(call.service_name) or 0.0)
-            refusal = Refusal(UNAVAILABLE, "unavailable", message, run, wait)
+            refusal = Refusal(SERVICE_UNAVAILABLE, "unavailable", message, run, wait)
         else:
-            refusal = Refusal(FAILED, "outcome_unknown", message, run)
+            refusal = Refusal(BAD_GATEWAY, "outcome_unknown", message, run)
         self._metrics.refusals.inc({"kind": refusal.kind})
         return make_refusal_reply(refusal)
 
@@ -146,11 +146,11 @@
     ) -> Reply | NotRun | MaybeRun:
         cached = placement.expected_cached * BLOCK_TOKENS
         tokens = max(0, call.prompt_tokens - cached)
-        entry = self._engines.note_sent(placement.server, tokens, placement.blocks)
-        call.exits.callback(self._engines.note_ended, placement.server, entry)
-        attempt = _Attempt(placement, uuid.uuid4().hex, entry)
-        server = self._ends.find_server(placement.server)
-        before = call.progress.run
+        in_flight = self._engines.note_sent(placement.server, tokens, placement.blocks)
+        call.exits.callback(self._engines.note_ended, placement.server, in_flight)
+        attempt = _Attempt(placement, uuid.uuid4().hex, in_flight)
+        server = self._call_quarantine.find_server(placement.server)
+        run_before = call.progress.run
         call.progress.run = RunState.OUTCOME_UNKNOWN
         try:
             if call.kind is CallKind.PLAIN:
@@ -161,18 +161,18 @@
             self._engines.abandon_probe(placement.server)
             raise
         if isinstance(outcome, MaybeRun):
-            self._ends.note_failed_attempt(call, server, entry.sent_at)
-        self._settle(call, placement, outcome, before)
+            self._call_quarantine.note_failed_attempt(call, server, in_flight.sent_at)
+        self._record_outcome(call, placement, outcome, run_before)
         if not isinstance(outcome, Reply):
-            self._engines.note_ended(placement.server, entry)
+            self._engines.note_ended(placement.server, in_flight)
         return outcome
 
-    def _settle(
+    def _record_outcome(
         self,
         call: Call,
         placement: Placement,
         outcome: Reply | NotRun | MaybeRun,
-        before: RunState,
+        run_before: RunState,
     ) -> None:
         result = type(outcome).__name__.lower()
         self._metrics.attempts.inc({"server": placement.server, "result": result})
@@ -181,12 +181,12 @@
             call.progress.first_token_at = trio.current_time()
             return
         if isinstance(outcome, NotRun):
-            call.progress.run = before
+            call.progress.run = run_before
         if outcome.backoff is not None:
             self._engines.note_backoff(placement.server, outcome.backoff)
-        refused = isinstance(outcome, NotRun) and outcome.unreached
-        if refused or isinstance(outcome, MaybeRun):
-            self._engines.note_failure(placement.server, refused=refused)
+        is_refused = isinstance(outcome, NotRun) and outcome.unreached
+        if is_refused or isinstance(outcome, MaybeRun):
+            self._engines.note_failure(placement.server, refused=is_refused)
         else:
             self._engines.abandon_probe(placement.server)
 
@@ -203,7 +203,7 @@
             attempt.name,
             call.service.answer_seconds,
         )
-        client = self._client if call.repeatable else self._single_use
+        client = self._client if call.repeatable else self._single_use_client
         outcome = await send_plain(client, attempt.placement.address, request)
         if not isinstance(outcome, Answered):
             return outcome
@@ -214,7 +214,7 @@
     async def _send_model(
         self, call: Call, attempt: _Attempt
     ) -> Reply | NotRun | MaybeRun:
-        outcome = await self._open_patiently(call, attempt)
+        outcome = await self._open_before_timeout(call, attempt)
         if not isinstance(outcome, Answered):
             return outcome
         answer: EngineAnswer = outcome.response
@@ -244,10 +244,10 @@
             stall_seconds=max(STALL_SECONDS, call.service.answer_seconds),
             after=after,
         )
-        client = self._client if call.repeatable else self._single_use
+        client = self._client if call.repeatable else self._single_use_client
         return await send_request(client, placement.address, request)
 
-    async def _open_patiently(
+    async def _open_before_timeout(
         self, call: Call, attempt: _Attempt
     ) -> Answered | NotRun | MaybeRun:
         """Wait for the answer's head as long as there is hope for one.
@@ -260,7 +260,7 @@
         with trio.move_on_after(call.service.answer_seconds):
             async with trio.open_nursery() as nursery:
                 if call.repeatable:
-                    nursery.start_soon(self._cancel_if_silent, attempt, nursery)
+                    nursery.start_soon(self._cancel_if_unresponsive, attempt, nursery)
                 outcome = await self._open(call, attempt, after=0)
                 if isinstance(outcome, Answered):
                     # At once: the caller's end may be the next step.
@@ -268,16 +268,18 @@
                 nursery.cancel_scope.cancel()
         return outcome
 
-    async def _cancel_if_silent(self, attempt: _Attempt, nursery: trio.Nursery) -> None:
+    async def _cancel_if_unresponsive(
+        self, attempt: _Attempt, nursery: trio.Nursery
+    ) -> None:
         while not self._engines.is_unresponsive(attempt.placement.server):
-            await trio.sleep(SILENCE_CHECK_SECONDS)
+            await trio.sleep(UNRESPONSIVE_CHECK_SECONDS)
         nursery.cancel_scope.cancel()
 
     def _note_engine_answer(
         self, call: Call, attempt: _Attempt, answer: EngineAnswer
     ) -> None:
         placement = attempt.placement
-        attempt.entry.tokens = 0
+        attempt.in_flight.tokens = 0
         self._engines.note_answer(
             placement.server, answer.incarnation, placement.blocks, answer.cached_blocks
         )
@@ -311,14 +313,18 @@
         return Reply(OK, self._make_headers(call, attempt, answer), body)
 
     def _make_source(self, call: Call, attempt: _Attempt) -> StreamSource:
-        server = self._ends.find_server(attempt.placement.server)
+        server = self._call_quarantine.find_server(attempt.placement.server)
 
         async def reopen(current: EngineAnswer, plan: Continue) -> EngineAnswer | None:
             if plan.same_engine:
-                return await resume_same(self._client, current, plan.after)
-            self._ends.note_failed_attempt(call, server, attempt.entry.sent_at)
+                return await resume_on_same_engine(self._client, current, plan.after)
+            self._call_quarantine.note_failed_attempt(
+                call, server, attempt.in_flight.sent_at
+            )
             if (
-                self._ends.classify(self._ends.compute_fingerprint(call))
+                self._call_quarantine.classify(
+                    self._call_quarantine.compute_fingerprint(call)
+                )
                 is not QuarantineState.FREE
             ):
                 return None
@@ -335,7 +341,7 @@
         if placement.weights != attempt.placement.weights:
             # Other weights would go on with another text.
             return None
-        other = _Attempt(placement, uuid.uuid4().hex, attempt.entry)
+        other = _Attempt(placement, uuid.uuid4().hex, attempt.in_flight)
         outcome = await self._open(call, other, after)
         if not isinstance(outcome, Answered):
             return None
--- a/ashpond/filters/idempotency.py
+++ b/ashpond/filters/idempotency.py
@@ -19,7 +19,7 @@
     from ashpond.controllers.claims import Claim, ClaimsController
     from ashpond.metrics import Metrics
 
-GONE_STATUS = 409
+CONFLICT = 409
 REPLAY_HEADER = "Ashpond-Replayed"
 
 
@@ -36,29 +36,29 @@
             metrics.refusals.inc({"kind": claim.kind})
             return make_refusal_reply(claim)
         if isinstance(claim, Replay):
-            return replay(claim.answer)
+            return make_replay_reply(claim.answer)
         return await run_claimed(call, claim, following)
 
     async def run_claimed(call: Call, claim: Claim, following: Handler) -> Reply:
         try:
             reply = await following(call._replace(claim_attempt=claim.attempt))
         except BaseException:
-            settle_unfinished(call, claim)
+            release_if_not_run(call, claim)
             raise
         if call.progress.run is not RunState.RUN:
-            settle_unfinished(call, claim)
+            release_if_not_run(call, claim)
             return reply
         if isinstance(reply.body, bytes):
             claims.finish(claim, pack_reply(reply, reply.body))
             return reply
-        return reply._replace(body=keep_stream(call, claim, reply, reply.body))
+        return reply._replace(body=record_stream(call, claim, reply, reply.body))
 
-    def settle_unfinished(call: Call, claim: Claim) -> None:
+    def release_if_not_run(call: Call, claim: Claim) -> None:
         # A call whose outcome is unknown keeps its claim: nobody may run it.
         if call.progress.run is RunState.NOT_RUN:
             claims.release(claim)
 
-    async def keep_stream(
+    async def record_stream(
         call: Call, claim: Claim, reply: Reply, body: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
         parts = []
@@ -77,8 +77,8 @@
 
 def make_claim_key(call: Call) -> str:
     """Return the table key of a call's claim."""
-    material = "\x1f".join([call.team_name, call.service_name])
-    digest = hashlib.sha256(f"{material}\x1f{call.idempotency_key}".encode())
+    scope = "\x1f".join([call.team_name, call.service_name])
+    digest = hashlib.sha256(f"{scope}\x1f{call.idempotency_key}".encode())
     return f"claim/{digest.hexdigest()}"
 
 
@@ -94,11 +94,11 @@
     return packed
 
 
-def replay(answer: bytes) -> Reply:
+def make_replay_reply(answer: bytes) -> Reply:
     """Return the stored answer to a duplicate."""
     if not answer:
         text = "the request has run, but its answer was too large to keep"
-        refusal = Refusal(GONE_STATUS, "answer_not_kept", text, RunState.RUN)
+        refusal = Refusal(CONFLICT, "answer_not_kept", text, RunState.RUN)
         return make_refusal_reply(refusal)
     status, headers, body = msgpack.unpackb(answer)
     return Reply(status, headers | {REPLAY_HEADER: "true"}, body)
--- a/ashpond/filters/limits.py
+++ b/ashpond/filters/limits.py
@@ -14,7 +14,7 @@
     from ashpond.controllers.limits import LimitsController
     from ashpond.metrics import Metrics
 
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 
 
 def make_limits(limits: LimitsController, metrics: Metrics) -> Filter:
@@ -27,7 +27,7 @@
             return await following(call)
         metrics.refusals.inc({"kind": "team_limit"})
         text = "the team's request rate is used up"
-        refusal = Refusal(TOO_MANY, "team_limit", text, retry_after=wait)
+        refusal = Refusal(TOO_MANY_REQUESTS, "team_limit", text, retry_after=wait)
         return make_refusal_reply(refusal)
 
     return limit
--- a/ashpond/filters/parsing.py
+++ b/ashpond/filters/parsing.py
@@ -22,8 +22,8 @@
 REPEATABLE_HEADER = "ashpond-repeatable"
 RESUMABLE_HEADER = "ashpond-resumable"
 LEVELS_HEADER = "ashpond-prefix-levels"
-KEY_HEADER = "idempotency-key"
-MAX_IDEMPOTENCY_KEY = 255
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
+MAX_IDEMPOTENCY_KEY_LENGTH = 255
 MAX_LEVELS = 16
 MAX_DEADLINE_MS = 86_400_000
 MAX_TOKENS = 1_000_000
@@ -34,7 +34,7 @@
 FLAGS = {"true": True, "false": False}
 
 
-class _Bad(Exception):
+class _InvalidCall(Exception):
     """Stops the parsing of one call; never leaves this module."""
 
     def __init__(self, status: int, kind: str, message: str):
@@ -48,8 +48,8 @@
     async def parse(call: Call, following: Handler) -> Reply:
         try:
             parsed = parse_call(call, configuration.current)
-        except _Bad as bad:
-            return make_refusal_reply(bad.refusal)
+        except _InvalidCall as error:
+            return make_refusal_reply(error.refusal)
         call.progress.service = parsed.service_name
         return await following(parsed)
 
@@ -72,37 +72,39 @@
     try:
         payload = orjson.loads(call.body)
     except orjson.JSONDecodeError as error:
-        raise _Bad(BAD_REQUEST, "bad_json", f"the body is not JSON: {error}") from error
+        raise _InvalidCall(
+            BAD_REQUEST, "bad_json", f"the body is not JSON: {error}"
+        ) from error
     if not isinstance(payload, dict):
-        raise _Bad(BAD_REQUEST, "bad_request", "the body must be an object")
+        raise _InvalidCall(BAD_REQUEST, "bad_request", "the body must be an object")
     model = payload.get("model")
     if not isinstance(model, str):
-        raise _Bad(BAD_REQUEST, "bad_request", "model must be a string")
+        raise _InvalidCall(BAD_REQUEST, "bad_request", "model must be a string")
     streamed = payload.get("stream", False)
     if not isinstance(streamed, bool):
-        raise _Bad(BAD_REQUEST, "bad_request", "stream must be true or false")
+        raise _InvalidCall(BAD_REQUEST, "bad_request", "stream must be true or false")
     return call._replace(payload=payload, service_name=model, streamed=streamed)
 
 
 def _find_service(call: Call, configuration: Configuration) -> Call:
     assert call.team is not None
-    wanted = "plain" if call.kind is CallKind.PLAIN else "model"
+    expected_kind = "plain" if call.kind is CallKind.PLAIN else "model"
     service = configuration.services.get(call.service_name)
     # A service that the team may not use looks like one that is not there.
-    allowed = call.service_name in call.team.services
-    if service is None or service.kind != wanted or not allowed:
-        text = f"no {wanted} service {call.service_name!r:.80} for this team"
-        raise _Bad(NOT_FOUND, "unknown_service", text)
+    is_allowed = call.service_name in call.team.services
+    if service is None or service.kind != expected_kind or not is_allowed:
+        text = f"no {expected_kind} service {call.service_name!r:.80} for this team"
+        raise _InvalidCall(NOT_FOUND, "unknown_service", text)
     return call._replace(service=service)
 
 
 def _parse_headers(
     call: Call, configuration: Configuration, service: ServiceConfig
 ) -> Call:
-    key = call.headers.get(KEY_HEADER)
-    if key is not None and not 0 < len(key) <= MAX_IDEMPOTENCY_KEY:
-        text = f"Idempotency-Key must have 1 to {MAX_IDEMPOTENCY_KEY} characters"
-        raise _Bad(BAD_REQUEST, "bad_header", text)
+    key = call.headers.get(IDEMPOTENCY_KEY_HEADER)
+    if key is not None and not 0 < len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH:
+        text = f"Idempotency-Key must have 1 to {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
+        raise _InvalidCall(BAD_REQUEST, "bad_header", text)
     # A caller may forbid repeats, never allow what the service forbids.
     repeatable = _read_flag(call.headers, REPEATABLE_HEADER, True)
     bound = _read_deadline(call.headers, service.deadline_seconds)
@@ -121,10 +123,10 @@
     default = call.team.default_priority or call.team.priorities[0]
     name = call.headers.get(PRIORITY_HEADER, default)
     if name not in configuration.priorities:
-        raise _Bad(BAD_REQUEST, "bad_header", f"no priority {name!r:.80}")
+        raise _InvalidCall(BAD_REQUEST, "bad_header", f"no priority {name!r:.80}")
     if name not in call.team.priorities:
         text = f"the team may not use priority {name!r:.80}"
-        raise _Bad(FORBIDDEN, "forbidden_priority", text)
+        raise _InvalidCall(FORBIDDEN, "forbidden_priority", text)
     return name
 
 
@@ -133,7 +135,7 @@
     if value is None:
         return default
     if value.lower() not in FLAGS:
-        raise _Bad(BAD_REQUEST, "bad_header", f"{name} must be true or false")
+        raise _InvalidCall(BAD_REQUEST, "bad_header", f"{name} must be true or false")
     return FLAGS[value.lower()]
 
 
@@ -142,20 +144,22 @@
     if value is None:
         return default
     if not value.isascii() or not value.isdigit():
-        raise _Bad(BAD_REQUEST, "bad_header", "Ashpond-Deadline-Ms must be a number")
+        raise _InvalidCall(
+            BAD_REQUEST, "bad_header", "Ashpond-Deadline-Ms must be a number"
+        )
     if not 0 < int(value[:12]) <= MAX_DEADLINE_MS:
         text = f"Ashpond-Deadline-Ms must be from 1 to {MAX_DEADLINE_MS}"
-        raise _Bad(BAD_REQUEST, "bad_header", text)
+        raise _InvalidCall(BAD_REQUEST, "bad_header", text)
     return min(default, int(value) / 1000)
 
 
 def _parse_prompt(call: Call) -> Call:
     assert call.payload is not None
     if call.kind is CallKind.CHAT:
-        prompt, ends = _read_messages(call.payload)
+        prompt, message_ends = _read_messages(call.payload)
     else:
-        prompt, ends = _read_text(call.payload), []
-    levels = _read_levels(call, prompt, ends)
+        prompt, message_ends = _read_text(call.payload), []
+    levels = _read_levels(call, prompt, message_ends)
     max_tokens = _read_max_tokens(call.payload)
     return call._replace(
         prompt=prompt,
@@ -168,20 +172,22 @@
 def _read_messages(payload: dict[str, Any]) -> tuple[str, list[int]]:
     messages = payload.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _Bad(BAD_REQUEST, "bad_request", "messages must be a list with entries")
+        raise _InvalidCall(
+            BAD_REQUEST, "bad_request", "messages must be a list with entries"
+        )
     for message in messages:
         if not isinstance(message, dict) or not isinstance(message.get("role"), str):
-            raise _Bad(BAD_REQUEST, "bad_request", "each message needs a role")
+            raise _InvalidCall(BAD_REQUEST, "bad_request", "each message needs a role")
         if not isinstance(message.get("content"), str | list | None):
             text = "each message's content must be text or a list of parts"
-            raise _Bad(BAD_REQUEST, "bad_request", text)
+            raise _InvalidCall(BAD_REQUEST, "bad_request", text)
     return render_chat(messages)
 
 
 def _read_text(payload: dict[str, Any]) -> str:
     prompt = payload.get("prompt")
     if not isinstance(prompt, str):
-        raise _Bad(BAD_REQUEST, "bad_request", "prompt must be a string")
+        raise _InvalidCall(BAD_REQUEST, "bad_request", "prompt must be a string")
     return prompt
 
 
@@ -193,12 +199,12 @@
     parts = value.split(",")
     if len(parts) > MAX_LEVELS or not all(p.strip().isdecimal() for p in parts):
         text = f"Ashpond-Prefix-Levels: up to {MAX_LEVELS} numbers"
-        raise _Bad(BAD_REQUEST, "bad_header", text)
+        raise _InvalidCall(BAD_REQUEST, "bad_header", text)
     numbers = [int(part.strip()[:12]) for part in parts]
     limit = len(message_ends) if call.kind is CallKind.CHAT else len(prompt)
     if numbers != sorted(numbers) or numbers[0] < 1 or numbers[-1] > limit:
         text = f"Ashpond-Prefix-Levels must ascend from 1 to at most {limit}"
-        raise _Bad(BAD_REQUEST, "bad_header", text)
+        raise _InvalidCall(BAD_REQUEST, "bad_header", text)
     if call.kind is CallKind.CHAT:
         return [message_ends[number - 1] for number in numbers]
     return numbers
@@ -208,8 +214,8 @@
     value = payload.get("max_completion_tokens", payload.get("max_tokens"))
     if value is None:
         return DEFAULT_MAX_TOKENS
-    whole = isinstance(value, int) and not isinstance(value, bool)
-    if not whole or not 0 < value <= MAX_TOKENS:
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    if not is_integer or not 0 < value <= MAX_TOKENS:
         text = f"max_tokens must be from 1 to {MAX_TOKENS}"
-        raise _Bad(BAD_REQUEST, "bad_request", text)
+        raise _InvalidCall(BAD_REQUEST, "bad_request", text)
     return int(value)
--- a/ashpond/filters/placement.py
+++ b/ashpond/filters/placement.py
@@ -67,17 +67,17 @@
             state.build_candidate(chains[find_weights(call, state)].blocks)
             for state in usable
         ]
-        placed = choose(call, candidates, chains)
-        state = engines.servers[placed.name]
+        chosen = choose(call, candidates, chains)
+        state = engines.servers[chosen.name]
         weights = find_weights(call, state)
         return Placement(
-            server=placed.name,
+            server=chosen.name,
             address=state.config.address,
             weights=weights,
             cache_salt=make_cache_salt(make_seed(call, weights)),
             blocks=chains[weights].blocks,
-            expected_seconds=placed.expected_seconds,
-            expected_cached=placed.expected_cached_blocks,
+            expected_seconds=chosen.expected_seconds,
+            expected_cached=chosen.expected_cached_blocks,
         )
 
     def choose(
@@ -86,16 +86,16 @@
         now = trio.current_time()
         if call.is_suspected:
             # Whatever runs beside it may be lost with the server.
-            idlest = choose_least_loaded(candidates, now, rng)
-            assert idlest is not None
-            return expect(idlest)
+            least_loaded = choose_least_loaded(candidates, now, rng)
+            assert least_loaded is not None
+            return make_choice(least_loaded)
         if settings.policy == "round-robin":
-            return expect(candidates[next(counter) % len(candidates)])
+            return make_choice(candidates[next(counter) % len(candidates)])
         chain = next(iter(chains.values()))
         if settings.policy == "hashing" and chain.levels:
-            return expect(choose_by_hash(candidates, chain))
+            return make_choice(choose_by_hash(candidates, chain))
         if settings.policy == "ashpond" and chain.blocks:
-            placed = choose_engine(
+            chosen = choose_engine(
                 candidates,
                 chain,
                 call.prompt_tokens,
@@ -104,16 +104,16 @@
                 rng,
                 presumed_home_share,
             )
-            assert placed is not None
-            return placed
-        least = choose_least_loaded(candidates, now, rng)
-        assert least is not None
-        return expect(least)
+            assert chosen is not None
+            return chosen
+        least_loaded = choose_least_loaded(candidates, now, rng)
+        assert least_loaded is not None
+        return make_choice(least_loaded)
 
     return place
 
 
-def expect(candidate: Candidate) -> ChosenEngine:
+def make_choice(candidate: Candidate) -> ChosenEngine:
     """Return a placement that was not chosen by expected times."""
     return ChosenEngine(candidate.name, 0.0, candidate.cached_blocks)
 
--- a/ashpond/filters/quarantine.py
+++ b/ashpond/filters/quarantine.py
@@ -16,49 +16,51 @@
     from ashpond.metrics import Metrics
 
 BAD_REQUEST = 400
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 SERVER_ERROR = 500
 QUARANTINED = Refusal(
     BAD_REQUEST, "quarantined", "the backend servers that ran this call ended"
 )
 # A case settles in 1.5 s, an attempt that is on its way mostly ends before (seconds).
 SUSPECTED = Refusal(
-    UNAVAILABLE,
+    SERVICE_UNAVAILABLE,
     "suspected",
     "another attempt of this call may end the server that runs it",
     retry_after=1.5,
 )
 
 
-def make_quarantine(ends: CallQuarantine, metrics: Metrics) -> Filter:
+def make_quarantine(call_quarantine: CallQuarantine, metrics: Metrics) -> Filter:
     """Return the filter."""
 
     def refuse(refusal: Refusal) -> Reply:
         metrics.refusals.inc({"kind": refusal.kind})
         return make_refusal_reply(refusal)
 
-    async def keep_away(call: Call, following: Handler) -> Reply:
-        name = ends.compute_fingerprint(call)
-        standing = ends.classify(name)
-        if standing is QuarantineState.QUARANTINED:
+    async def check_quarantine(call: Call, following: Handler) -> Reply:
+        fingerprint = call_quarantine.compute_fingerprint(call)
+        state = call_quarantine.classify(fingerprint)
+        if state is QuarantineState.QUARANTINED:
             return refuse(QUARANTINED)
-        is_suspected = standing is not QuarantineState.FREE
-        if standing is QuarantineState.HELD or (
-            is_suspected and ends.is_in_progress(name)
+        is_suspected = state is not QuarantineState.FREE
+        if state is QuarantineState.HELD or (
+            is_suspected and call_quarantine.is_in_progress(fingerprint)
         ):
             return refuse(SUSPECTED)
-        ends.note_started(name)
+        call_quarantine.note_started(fingerprint)
         replies: list[Reply] = []
         call.exits.callback(
-            lambda: ends.note_finished(name, is_answered=was_answered(call, replies))
+            lambda: call_quarantine.note_finished(
+                fingerprint, is_answered=is_fully_answered(call, replies)
+            )
         )
         replies.append(await following(call._replace(is_suspected=is_suspected)))
         return replies[0]
 
-    return keep_away
+    return check_quarantine
 
 
-def was_answered(call: Call, replies: list[Reply]) -> bool:
+def is_fully_answered(call: Call, replies: list[Reply]) -> bool:
     """Return whether a server has answered a call whole."""
     if not replies or replies[0].status >= SERVER_ERROR:
         return False
--- a/ashpond/filters/relay.py
+++ b/ashpond/filters/relay.py
@@ -24,8 +24,8 @@
     from ashpond.call import Call
     from ashpond.metrics import Metrics
 
-FAILED_STATUS = 502
-CLEAN_UP_SECONDS = 1.0
+BAD_GATEWAY = 502
+CLEANUP_SECONDS = 1.0
 
 
 class StreamSource(NamedTuple):
@@ -47,7 +47,7 @@
 
     :param after: number of the last event that the caller already has.
     """
-    order = EventSequence(after)
+    sequence = EventSequence(after)
     resumes = 0
     current = answer
     finished = False
@@ -57,23 +57,23 @@
             batches = read_event_batches(current.response)
             try:
                 async for batch in batches:
-                    taken = take_batch(batch, order)
+                    new_events = filter_batch(batch, sequence)
                     # Before it is handed on: with the end a caller may leave.
-                    finished = taken.is_end
+                    finished = new_events.is_end
                     call.progress.is_whole = finished
-                    if taken.chunk:
+                    if new_events.chunk:
                         chunks += 1
-                        yield taken.chunk
-                    if finished or taken.is_cut:
+                        yield new_events.chunk
+                    if finished or new_events.has_gap:
                         break
             except (httpx.HTTPError, httpx.StreamError):
                 pass
             if finished:
-                await read_to_end(batches)
+                await drain_batches(batches)
                 return
             await current.response.aclose()
-            continuation = await find_continuation(
-                call, current, order, resumes, source
+            continuation = await open_continuation(
+                call, current, sequence, resumes, source
             )
             resumes += 1
             if isinstance(continuation, str):
@@ -85,13 +85,13 @@
             current = continuation
     finally:
         metrics.events.add({"service": call.service_name}, chunks)
-        with trio.move_on_after(CLEAN_UP_SECONDS, shield=True):
+        with trio.move_on_after(CLEANUP_SECONDS, shield=True):
             if not finished:
                 await source.cancel(current)
             await current.response.aclose()
 
 
-class Taken(NamedTuple):
+class NewEvents(NamedTuple):
     """What a batch of events holds for the caller.
 
     ``is_cut`` tells that events are missing after ``chunk``.
@@ -99,26 +99,26 @@
 
     chunk: bytes
     is_end: bool = False
-    is_cut: bool = False
+    has_gap: bool = False
 
 
-def take_batch(batch: list[StreamEvent], order: EventSequence) -> Taken:
+def filter_batch(batch: list[StreamEvent], sequence: EventSequence) -> NewEvents:
     """Return the new events of a batch, up to its end or a gap."""
     parts: list[bytes] = []
     for event in batch:
-        verdict = order.check(event.number)
-        if verdict is EventAction.GAP:
-            return Taken(b"".join(parts), is_cut=True)
-        if verdict is EventAction.FORWARD:
+        action = sequence.check(event.number)
+        if action is EventAction.GAP:
+            return NewEvents(b"".join(parts), has_gap=True)
+        if action is EventAction.FORWARD:
             parts.append(event.data)
             if event.is_end:
-                return Taken(b"".join(parts), is_end=True)
-    return Taken(b"".join(parts))
+                return NewEvents(b"".join(parts), is_end=True)
+    return NewEvents(b"".join(parts))
 
 
-async def read_to_end(batches: AsyncIterator[list[StreamEvent]]) -> None:
+async def drain_batches(batches: AsyncIterator[list[StreamEvent]]) -> None:
     """Read what follows the end event, so that the connection serves again."""
-    with trio.move_on_after(CLEAN_UP_SECONDS):
+    with trio.move_on_after(CLEANUP_SECONDS):
         try:
             async for _ in batches:
                 pass
@@ -126,10 +126,10 @@
             return
 
 
-async def find_continuation(
+async def open_continuation(
     call: Call,
     current: EngineAnswer,
-    order: EventSequence,
+    sequence: EventSequence,
     resumes: int,
     source: StreamSource,
 ) -> EngineAnswer | str:
@@ -137,7 +137,7 @@
     assert call.service is not None
     for engine_lost in (False, True):
         plan = plan_continuation(
-            last=order.last,
+            last=sequence.last,
             resumes=resumes,
             engine_lost=engine_lost,
             repeatable=call.repeatable,
@@ -153,11 +153,11 @@
 
 def make_stream_error(reason: str) -> bytes:
     """Return the event that tells the caller that the stream is not complete."""
-    refusal = Refusal(FAILED_STATUS, "stream_cut", reason, RunState.OUTCOME_UNKNOWN)
+    refusal = Refusal(BAD_GATEWAY, "stream_cut", reason, RunState.OUTCOME_UNKNOWN)
     return make_error_event(refusal)
 
 
 async def close_response(answer: EngineAnswer) -> None:
     """Close an engine's response, also while the task is being cancelled."""
-    with trio.move_on_after(CLEAN_UP_SECONDS, shield=True):
+    with trio.move_on_after(CLEANUP_SECONDS, shield=True):
         await answer.response.aclose()
--- a/ashpond/filters/resumption.py
+++ b/ashpond/filters/resumption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ResumeForCaller", "make_cancel", "make_resumption", "resume_same"]
+__all__ = ["ResumeForCaller", "make_cancel", "make_resumption", "resume_on_same_engine"]
 
 import uuid
 from collections.abc import Awaitable, Callable
@@ -27,7 +27,7 @@
 ResumeForCaller = Callable[[Call, "StreamToken", int], Awaitable[Reply | Refusal]]
 
 
-async def resume_same(
+async def resume_on_same_engine(
     client: httpx.AsyncClient, current: EngineAnswer, after: int
 ) -> EngineAnswer | None:
     """Return the rest of a stream from the incarnation that began it."""
@@ -70,7 +70,7 @@
     async def reopen(current: EngineAnswer, plan: Continue) -> EngineAnswer | None:
         if not plan.same_engine:
             return None
-        return await resume_same(client, current, plan.after)
+        return await resume_on_same_engine(client, current, plan.after)
 
     async def resume(call: Call, token: StreamToken, after: int) -> Reply | Refusal:
         state = engines.servers.get(token.server)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -195,7 +195,7 @@
             caller.cancel()
             return Answered(EngineAnswer("x", 200, "i1", "s1", "w1", None, response))
 
-        async def _cancel_if_silent(
+        async def _cancel_if_unresponsive(
             self, attempt: _Attempt, nursery: trio.Nursery
         ) -> None:
             await trio.sleep_forever()
@@ -205,7 +205,7 @@
     )
     call = make_call()
     with caller:
-        await dispatcher._open_patiently(call, none)
+        await dispatcher._open_before_timeout(call, none)
     await call.exits.aclose()
     assert response.is_closed
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -14,7 +14,7 @@
 from ashpond.controllers.claims import Claim
 from ashpond.decisions.streams import Continue, EventSequence, Fail, plan_continuation
 from ashpond.filters.idempotency import make_idempotency
-from ashpond.filters.relay import StreamSource, relay_stream, take_batch
+from ashpond.filters.relay import StreamSource, filter_batch, relay_stream
 from ashpond.metrics import Metrics
 from ashpond.outcomes import RunState
 from tests.builders import make_call
@@ -203,9 +203,9 @@
 def test_events_before_a_gap_in_one_batch_are_forwarded():
     batch = [StreamEvent(n, b"%d;" % n, False) for n in (1, 2, 4)]
     order = EventSequence()
-    taken = take_batch(batch, order)
+    taken = filter_batch(batch, order)
     assert taken.chunk == b"1;2;"
-    assert taken.is_cut
+    assert taken.has_gap
     assert order.last == 2
 
 
