--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -178,7 +178,10 @@
             has_server_limits=self.table.has_limits,
         )
         self.permits = Permits(
-            self.allowances, self.metrics.count_permit, self.rng, self.places.assign
+            self.allowances,
+            self.metrics.count_permit,
+            self.rng,
+            self.reservations.assign,
         )
         self.news = Newsroom(
             self.members,
