--- a/ashpond/controllers/directory.py
+++ b/ashpond/controllers/directory.py
@@ -27,7 +27,7 @@
 # After a refusal while weights load; a load takes about 0.8 s.
 LOADING_PAUSE_SECONDS = 0.4
 # A server that could not be reached is tried again after this, then doubled.
-CONNECT_FAILURE_PAUSE_SECONDS = 0.5
+CONNECT_PAUSE_SECONDS = 0.5
 MAX_DOUBLINGS = 3
 # A peer that cannot reach a server may itself be cut off: what answered here
 # within this time is not believed to be gone (seconds).
@@ -110,10 +110,8 @@
 
         A permit may be had elsewhere before this instance asks for one again.
         """
-        permit_pause_until = min(
-            self.permit_pause_until, now + MAX_PERMIT_PAUSE_SECONDS
-        )
-        return max(now, self.backoff_until, permit_pause_until)
+        pause_until = min(self.permit_pause_until, now + MAX_PERMIT_PAUSE_SECONDS)
+        return max(now, self.backoff_until, pause_until)
 
     def is_eligible(self) -> bool:
         """Return whether the server may get new work, now or later, as it is known."""
@@ -149,9 +147,7 @@
 
     def note_connect_failure(self, now: float) -> float:
         """Count a failure to connect; return the pause that it gives the server."""
-        pause = CONNECT_FAILURE_PAUSE_SECONDS * 2 ** min(
-            self.connect_failures, MAX_DOUBLINGS
-        )
+        pause = CONNECT_PAUSE_SECONDS * 2 ** min(self.connect_failures, MAX_DOUBLINGS)
         self.connect_failures += 1
         self.exclude_for(pause, now)
         return pause
