--- a/ashpond/controllers/backendservers.py
+++ b/ashpond/controllers/backendservers.py
@@ -1,4 +1,4 @@
-"""One start of a backend server, and how two starts compare."""
+"""The description of one start of a backend server, and the order of two starts."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-# Of the time of a start, so many bits tell it from others of the same server: its loads
-# are named by it eight times a second, at four bytes in place of ten.
+# The low 16 bits of the start time tell the starts of a server apart. Load updates name
+# a start eight times a second; this takes four bytes instead of ten.
 START_MASK = 0xFFFF
 
 
 class BackendServer(NamedTuple):
-    """One start of a backend server, as its entry tells.
+    """One start of a backend server, as its row in the store describes it.
 
-    ``weights`` maps models to versions; ``cold_seconds`` is how much longer it
-    stays slow after its start. A server may start again under its id: ``born`` is
-    the Unix time of its start in ms, None where it does not tell.
+    ``weights`` maps models to versions; ``cold_seconds`` is how much longer the server
+    stays slow after its start. A server may restart under the same id: ``started_ms``
+    is the Unix time of the start in ms, None if the server does not report it.
     """
 
     id: str
@@ -32,14 +32,14 @@
 
     @property
     def start_id(self) -> str:
-        """The name of this start in messages: the id, and a few bits of ``born``."""
+        """The id of this start in messages: the server's id and the low start bits."""
         if self.started_ms is None:
             return self.id
         return f"{self.id}#{self.started_ms & START_MASK:x}"
 
 
 class StartOrder(Enum):
-    """Whether what is told is of the start that is known of a server."""
+    """How the start that a message is about compares with the known start."""
 
     SAME = auto()
     NEWER = auto()
@@ -47,10 +47,13 @@
 
 
 def compare_starts(known: int | None, received: int | None) -> StartOrder:
-    """Return which start a message is about.
+    """Return how the start in a message compares with the known one.
 
-    One that names none is believed to be about the start that is known: those that
-    send it have heard of no other, or know a server that never tells its start.
+    A message without a start counts as one about the known start: its sender knows no
+    other, or the server never reports its start.
+
+    :param known: the known start time (Unix time in ms), None if there is none.
+    :param received: the start time in the message, None if there is none.
     """
     if known is None or received is None or known == received:
         return StartOrder.SAME
--- a/ashpond/controllers/crashdetection.py
+++ b/ashpond/controllers/crashdetection.py
@@ -1,9 +1,9 @@
-"""Find out which servers have ended, and which requests were in flight there.
+"""Detect crashes of servers, and the requests that were in flight there.
 
-A send that ends without an answer has many causes: its server ended, a link was cut,
-an order cut its runs, the answer was lost. Only what shows an end by itself counts:
-connections that the server's address refuses, a new start under its id, another server
-at its address, its entry gone without a word.
+An attempt can fail without an answer for many reasons: the server crashed, a link
+failed, a weights order interrupted the request, or the answer was lost. Only evidence
+of the crash itself counts: refused connections, a new start under the server's id,
+another server at its address, or a row that disappears without notice.
 """
 
 from __future__ import annotations
@@ -19,28 +19,29 @@
 
 from ashpond.clients.channels import Reach
 
-# The entry of a server that has ended goes after three heartbeats of silence, 2.4 to
-# 3.6 s later; a send that broke longer before was not broken by the end (seconds).
+# The row of a crashed server disappears after three missed heartbeats, 2.4 to 3.6 s
+# after the crash. An attempt that failed longer ago than this is not attributed to the
+# crash (seconds).
 ATTRIBUTION_SECONDS = 6.0
-# All connections break at the moment of an end; some are read a little later than the
-# first of them, which may have been enough to learn of the end (seconds).
+# All connections break in the crash, but some are read later than the one by which the
+# crash was detected. Attempts that fail within this time belong to it (seconds).
 SAME_CRASH_SECONDS = 1.0
-# A server is connected to at most so often to see whether it lives (seconds).
+# The shortest interval between two connection checks of a server (seconds).
 CHECK_INTERVAL_SECONDS = 0.5
-# Servers whose sends broke of late, and requests of each; a server has 24 to 64 slots.
+# Servers with failed attempts, and requests of each; a server has 24 to 64 slots.
 MAX_SERVERS = 256
 MAX_REQUESTS = 64
-# Servers that wait to be asked.
+# Servers that wait for a connection check.
 MAX_CHECKS = 64
-# How often servers end is measured over this time; just after the start of an instance
-# over what has passed since, but not less than the shorter one (seconds).
+# The time over which the rate of crashes is measured. After the start of an instance it
+# is the time since then, but at least the shorter one (seconds).
 HAZARD_SECONDS = 30.0
 MIN_HAZARD_SECONDS = 5.0
 MAX_CRASHES = 4_096
 
 
 class CrashEvidence(StrEnum):
-    """What shows that a server has ended."""
+    """What shows that a server has crashed."""
 
     REFUSED = "refused"
     NEW_START = "new_start"
@@ -49,9 +50,10 @@
 
 
 class WatchedServer(NamedTuple):
-    """One start of a server; ``owner`` names it in this process.
+    """One start of a server; ``owner`` identifies it in this process.
 
-    ``born`` is the time of the start in ms, None where the server does not tell it.
+    ``started_ms`` is the Unix time of the start in ms, None if the server does not
+    report it.
     """
 
     owner: str
@@ -63,9 +65,9 @@
 
 
 class LostRequest(NamedTuple):
-    """A request that was in flight at a server when it ended.
+    """A request that was in flight at a server when it crashed.
 
-    ``sent_at`` and ``broken_at`` are on this process's clock (seconds).
+    ``sent_at`` and ``failed_at`` are on this process's clock (seconds).
     """
 
     fingerprint: str
@@ -75,7 +77,7 @@
 
 
 class _FailedAttempts:
-    """The sends that broke at one start of a server, by fingerprint."""
+    """The failed attempts at one start of a server, by the request's fingerprint."""
 
     def __init__(self, server: WatchedServer):
         self.server = server
@@ -87,13 +89,13 @@
 
 
 class CrashDetector:
-    """Takes broken sends and signs of an end, and tells which requests were lost.
+    """The detector of crashes, which attributes failed attempts to them.
 
-    :param check: connects to a server to see whether it lives.
-    :param note: logs an event with its fields.
-    :param on_lost: is called once for each request that was in flight at an end.
+    :param check: checks whether a server accepts connections.
+    :param log_event: logs an event with its fields.
+    :param on_lost: is called once for each request that was in flight at a crash.
     :param on_refused: is called with a server that refuses connections.
-    :param list_servers: returns the servers that are there.
+    :param list_servers: returns the current servers.
     """
 
     def __init__(
@@ -110,9 +112,9 @@
         self._on_refused = on_refused
         self._list_servers = list_servers
         self._watched_since: float | None = None
-        # The service of each start that has ended of late, and when.
+        # The service and the time of each recent crash, by the start's owner key.
         self._crashes: dict[str, tuple[str, float]] = {}
-        # The most servers of each service that were there of late, and when.
+        # The highest recent number of servers of each service, and when it was seen.
         self._peaks: dict[str, tuple[int, float]] = {}
         self._by_owner: dict[str, _FailedAttempts] = {}
         self._checks, self._to_check = trio.open_memory_channel[_FailedAttempts](
@@ -120,7 +122,7 @@
         )
 
     async def run(self) -> None:
-        """Ask the servers whose sends broke, until cancelled."""
+        """Check the servers at which attempts failed, until cancelled."""
         self.note_server_counts()
         async with trio.open_nursery() as nursery:
             async for attempts in self._to_check:
@@ -134,11 +136,11 @@
         *,
         is_idle_timeout: bool = False,
     ) -> None:
-        """Note that a send broke, or fell silent, without a whole answer.
+        """Record an attempt that failed without a complete answer.
 
-        A server that leaves as announced ends its connections; nobody ended it. One
-        that is silent is mostly busy: a connection more would show nothing, and at a
-        server that is full each one may hold a slot.
+        A draining server closes its connections without having crashed, so that it is
+        ignored. After an idle timeout the server is not checked: it is probably busy,
+        so that a connection would prove nothing, and may take a slot of a full server.
         """
         if fingerprint is None or server.is_draining:
             return
@@ -156,7 +158,7 @@
             self._request_check(attempts, now)
 
     def note_crash(self, server: WatchedServer, evidence: CrashEvidence) -> None:
-        """Take a sign that a start of a server has ended."""
+        """Record the crash of a start, and call ``on_lost`` for its requests."""
         if server.is_draining:
             return
         now = trio.current_time()
@@ -166,7 +168,8 @@
             return
         since = now - ATTRIBUTION_SECONDS
         if evidence is not CrashEvidence.NEW_START:
-            # It lived after these broke, or has gone without ending them.
+            # The server was reachable after earlier attempts failed, so that this crash
+            # is not their cause.
             since = max(since, attempts.reachable_at)
         lost = [
             found for found in attempts.requests.values() if found.failed_at >= since
@@ -191,7 +194,7 @@
         self._crashes[server.owner] = (server.service, now)
 
     def note_server_counts(self) -> None:
-        """Note how many servers there are now; call it every few seconds."""
+        """Record the current number of servers; to be called every few seconds."""
         now = trio.current_time()
         if self._watched_since is None:
             self._watched_since = now
@@ -204,9 +207,9 @@
         self._crashes = {o: end for o, end in self._crashes.items() if end[1] >= since}
 
     def measure_hazard(self) -> float:
-        """Return how often servers ended of late, in the service that lost most.
+        """Return the recent hazard rate of the service with the highest one.
 
-        :return: ends per server and second.
+        :return: crashes per server and second.
         """
         self.note_server_counts()
         since = self._watched_since or 0.0
@@ -225,7 +228,7 @@
         attempts = self._by_owner.pop(server.owner, None)
         if attempts is None:
             attempts = _FailedAttempts(server)
-        # The last one that broke stands last, so that the first is the oldest.
+        # In the order of the last failure, so that the first is the oldest.
         self._by_owner[server.owner] = attempts
         for owner, oldest in list(self._by_owner.items()):
             is_old = now - oldest.failed_at > ATTRIBUTION_SECONDS
--- a/ashpond/controllers/directory.py
+++ b/ashpond/controllers/directory.py
@@ -1,4 +1,4 @@
-"""The backend servers that are known, and what is believed of each."""
+"""The table of the known backend servers, and the state of each at this instance."""
 
 from __future__ import annotations
 
@@ -13,42 +13,37 @@
 import itertools
 from collections.abc import Callable, Container, Mapping
 
-from ashpond.controllers.backendservers import (
-    BackendServer,
-    StartOrder,
-    compare_starts,
-)
+from ashpond.controllers.backendservers import BackendServer, StartOrder, compare_starts
 from ashpond.controllers.crashdetection import WatchedServer
 from ashpond.decisions.loads import NO_LOAD, PEER_LOAD_SECONDS, Load
 from ashpond.decisions.ratelimits import NO_LIMIT
 
-# After a refusal because it is full, a server is given this long (seconds).
+# The exclusion of a server that refused a request because it is full (seconds).
 FULL_PAUSE_SECONDS = 0.15
-# After a refusal while weights load; a load takes about 0.8 s.
+# The exclusion after a refusal while weights load, which takes about 0.8 s (seconds).
 LOADING_PAUSE_SECONDS = 0.4
-# A server that could not be reached is tried again after this, then doubled.
+# The pause after a failure to connect (seconds); it doubles with each further failure.
 CONNECT_PAUSE_SECONDS = 0.5
 MAX_DOUBLINGS = 3
-# A peer that cannot reach a server may itself be cut off: what answered here
-# within this time is not believed to be gone (seconds).
+# A peer that fails to connect to a server may itself be cut off: its report is ignored
+# if the server answered here within this time (seconds).
 RECENT_ANSWER_SECONDS = 0.4
-# One answer moves the failure share by this.
+# The weight of the latest answer in the exponential moving average of failures.
 FAILURE_SMOOTHING = 0.12
-# So many starts that leave are remembered beyond their entries.
+# The number of leaving starts that are remembered after their rows have disappeared.
 MAX_LEAVING_STARTS = 2_000
-# A client that finds no permit is not sent away for longer (seconds).
+# The longest Retry-After for want of a permit (seconds).
 MAX_PERMIT_PAUSE_SECONDS = 2.0
-# Entries that vanish just after the store was away may come back (seconds).
+# How long rows may take to reappear after an outage of the store (seconds).
 REAPPEAR_SECONDS = 2.2
 
-
 _numbers = itertools.count()
 
 
 class ServerState:
-    """What this instance believes of one start of a server.
+    """The state of one start of a server, as far as this instance knows it.
 
-    ``owner`` names it to the pool of connections, which are of this start alone.
+    ``owner`` is the key of this start's connections in the connection pool.
     """
 
     def __init__(self, info: BackendServer, now: float):
@@ -62,23 +57,23 @@
         self.connect_failures = 0
         self.answered_at = float("-inf")
         self.is_misdirected = False
-        # Whether an answer has said so; its row may say it much later.
+        # Whether an answer has announced it; the row may show it much later.
         self.is_leaving = False
-        # Until when the server wants no request from this instance.
+        # The end of the backoff that the server asked this instance for.
         self.backoff_until = 0.0
         self.rate_limit = NO_LIMIT
-        # When an answer here raised or lifted the limit, until that is told again.
+        # When an answer here raised or lifted the limit, until that is sent once more.
         self.limit_raised_at: float | None = None
-        # Until when no permit is asked for, as there was none so many times in a row.
+        # Until when no permit is requested, after so many refusals in a row.
         self.permit_pause_until = 0.0
         self.permit_refusals = 0
-        # Its entry cannot be read: it names no server to use, until it can again.
+        # Whether the latest row is invalid; the server is not used until it is valid.
         self.is_entry_invalid = False
         self.disappeared_at: float | None = None
 
     @property
     def watched(self) -> WatchedServer:
-        """Return this start as those see it that look for its end."""
+        """Return the description of this start for crash detection."""
         info = self.info
         return WatchedServer(
             self.owner,
@@ -90,11 +85,11 @@
         )
 
     def is_present(self) -> bool:
-        """Return whether the server is there and stays, as far as is known."""
+        """Return whether the server is eligible and its row has not disappeared."""
         return self.is_eligible() and self.disappeared_at is None
 
     def is_usable(self, now: float) -> bool:
-        """Return whether the server may get new work."""
+        """Return whether the server may get new requests now."""
         return (
             self.is_present()
             and now >= self.excluded_until
@@ -102,67 +97,68 @@
         )
 
     def is_backing_off(self, now: float) -> bool:
-        """Return whether the server itself has asked for no new work now."""
+        """Return whether a backoff or the rate limit forbids new requests now."""
         return now < max(self.permit_pause_until, self.backoff_until)
 
     def find_retry_time(self, now: float) -> float:
-        """Return when a request that comes back may be taken, by what the server says.
+        """Return when a client may retry, by the server's backoff and rate limit.
 
-        A permit may be had elsewhere before this instance asks for one again.
+        The pause between permit requests counts only up to
+        ``MAX_PERMIT_PAUSE_SECONDS``: another instance may get a permit earlier.
         """
         pause_until = min(self.permit_pause_until, now + MAX_PERMIT_PAUSE_SECONDS)
         return max(now, self.backoff_until, pause_until)
 
     def is_eligible(self) -> bool:
-        """Return whether the server may get new work, now or later, as it is known."""
+        """Return whether the server may get new requests, now or later."""
         leaves = self.info.is_draining or self.is_leaving
         return not (leaves or self.is_misdirected or self.is_entry_invalid)
 
     @property
     def is_limited(self) -> bool:
-        """Whether the server takes only so many requests a second."""
+        """Whether the server has a rate limit."""
         return self.rate_limit.rate is not None
 
     def exclude_for(self, seconds: float, now: float) -> None:
-        """Send nothing to the server for some time."""
+        """Send no new requests to the server for a number of seconds."""
         self.excluded_until = max(self.excluded_until, now + seconds)
 
     def readmit(self) -> None:
-        """Take the server back into use."""
+        """End the server's exclusion."""
         self.excluded_until = 0.0
 
     def update_weights(self, model: str, version: int) -> bool:
-        """Note a version seen at the server; return whether that is news."""
+        """Record a version seen at the server; return whether it is newer."""
         if version <= self.weights.get(model, 0):
             return False
         self.weights[model] = version
         return True
 
     def note_answer(self, now: float, *, failed: bool) -> None:
-        """Count an answer, or a failure in its place."""
+        """Add an answer, or a failure to get one, to the average of failures."""
         if not failed:
             self.connect_failures = 0
             self.answered_at = now
         self.failure_share += FAILURE_SMOOTHING * (failed - self.failure_share)
 
     def note_connect_failure(self, now: float) -> float:
-        """Count a failure to connect; return the pause that it gives the server."""
+        """Record a failure to connect; return the exclusion in seconds."""
         pause = CONNECT_PAUSE_SECONDS * 2 ** min(self.connect_failures, MAX_DOUBLINGS)
         self.connect_failures += 1
         self.exclude_for(pause, now)
         return pause
 
     def note_peer_connect_failure(self, seconds: float, now: float) -> None:
-        """Take a peer's failure to connect, unless the server answers here."""
+        """Exclude the server if it has not answered here lately."""
         if now - self.answered_at > RECENT_ANSWER_SECONDS:
             self.exclude_for(seconds, now)
 
 
 class ServerTable:
-    """All known backend servers.
+    """The table of all known backend servers.
 
-    ``on_new_start`` is called with the states of the start of a server that has ended
-    and of the next: what else is known of the first has to go as well.
+    ``on_new_start`` is called with the states of a server's previous and new start, so
+    that other components drop what they keep for the previous one.
     """
 
     def __init__(self) -> None:
@@ -172,9 +168,9 @@
             lambda previous, state: None
         )
         self._peer_loads: dict[str, tuple[float, dict[str, Load]]] = {}
-        # The last starts of servers that have said that they leave, the oldest first.
+        # The starts that announced that they leave, the oldest first.
         self._leaving: dict[tuple[str, int | None], None] = {}
-        # The sum of the peers' loads, and until when none of them is too old.
+        # The sums of the peers' loads by start, and until when none of them expires.
         self._totals: dict[str, Load] = {}
         self._totals_until = float("-inf")
 
@@ -186,9 +182,9 @@
         may_reappear: bool,
         invalid: Container[str] = (),
     ) -> list[ServerState]:
-        """Take over a whole list; return the states that are no longer used.
+        """Replace the table by a complete list; return the states of removed servers.
 
-        :param invalid: the ids whose entries are there and cannot be read.
+        :param invalid: the ids of the servers whose rows are invalid.
         """
         self.is_known = True
         for server in servers:
@@ -204,7 +200,7 @@
         return dropped
 
     def update(self, server: BackendServer, now: float) -> None:
-        """Take over a new or changed entry."""
+        """Add a server, or apply its changed row unless that is of an older start."""
         state = self.by_id.get(server.id)
         if state is None:
             state = self.by_id[server.id] = ServerState(server, now)
@@ -232,10 +228,10 @@
         now: float,
         weights: Mapping[str, int] | None = None,
     ) -> StartOrder:
-        """Take what a report or a peer says of a server's start.
+        """Record the start that a report or a peer names; return how it compares.
 
-        :param weights: what the new start is known to have, if that is told; else
-            it is believed to have what the server's entry said last.
+        :param weights: the weights of a new start, by model. Models that are missing
+            here keep the version from the server's last row.
         """
         state = self.by_id.get(server_id)
         if state is None:
@@ -248,33 +244,34 @@
             new_state = ServerState(
                 state.info._replace(started_ms=started_ms, weights=known), now
             )
-            # Of these its entry tells, which has not been heard of anew.
+            # Both depend on the row, which is still that of the previous start.
             new_state.disappeared_at = state.disappeared_at
             new_state.is_entry_invalid = state.is_entry_invalid
             self._replace_start(new_state)
         return order
 
     def _replace_start(self, state: ServerState) -> None:
-        """Forget all that was known of a server before its new start."""
+        """Replace the state of a server's previous start, and call ``on_new_start``."""
         previous = self.by_id[state.info.id]
         self.by_id[state.info.id] = state
         self.on_new_start(previous, state)
 
     def has_limits(self) -> bool:
-        """Return whether any server names a rate limit."""
+        """Return whether any server has a rate limit."""
         return any(state.is_limited for state in self.by_id.values())
 
     def find_rate_limit(self, start: str) -> float | None:
-        """Return the rate limit of a start of a server, None if it has none."""
+        """Return the rate limit of a start (requests a second), None if it has none."""
         state = self.by_id.get(start) or self.by_id.get(start.rpartition("#")[0])
         if state is None or state.info.start_id != start:
             return None
         return state.rate_limit.rate
 
     def note_leaving(self, state: ServerState) -> None:
-        """Send no new work to a start of a server any more.
+        """Send no new requests to a leaving start.
 
-        Its row may be older than its answer, also one that is back after it had gone.
+        Its row may be older than its announcement, even a row that disappeared and
+        reappeared; so the start is remembered here.
         """
         state.is_leaving = True
         self._leaving[state.info.id, state.info.started_ms] = None
@@ -282,15 +279,14 @@
             del self._leaving[next(iter(self._leaving))]
 
     def is_current(self, state: ServerState) -> bool:
-        """Return whether a server still runs as it did when ``state`` was made."""
+        """Return whether ``state`` is that of the server's current start."""
         return self.by_id.get(state.info.id) is state
 
     def note_invalid_entry(self, server_id: str) -> None:
-        """Send nothing more to a server whose entry cannot be read any more.
+        """Send no new requests to a server whose row has become invalid.
 
-        The entry that it was known by is no longer there, and the writer may be
-        another. What is in flight there goes on, and what is known of it stays: its
-        next good entry takes it back into use.
+        The row may be another writer's. Requests in flight continue and the state is
+        kept; the next valid row makes the server usable again.
         """
         state = self.by_id.get(server_id)
         if state is not None:
@@ -299,10 +295,11 @@
     def remove(
         self, server_id: str, now: float, *, may_reappear: bool
     ) -> ServerState | None:
-        """Drop an entry; return the state of the server if it is no longer used.
+        """Remove a server whose row has disappeared; return its state if removed.
 
-        :param may_lapse: the store was away: a living server's entry is back
-            within seconds, until when the server is used if there is no other.
+        :param may_reappear: whether the store has just had an outage. The row of a
+            running server then reappears within seconds; until then the server is
+            used only if its service has no other.
         """
         state = self.by_id.get(server_id)
         if state is None:
@@ -314,7 +311,7 @@
         return state
 
     def expire(self, now: float) -> list[ServerState]:
-        """Drop the vanished entries that did not come back; return their states."""
+        """Remove servers whose rows did not reappear; return their states."""
         gone = [
             state
             for state in self.by_id.values()
@@ -326,21 +323,20 @@
         return gone
 
     def list_all(self) -> list[ServerState]:
-        """Return all servers, in a fixed order."""
+        """Return all servers, sorted by service and id."""
         return sorted(
             self.by_id.values(), key=lambda state: (state.info.service, state.info.id)
         )
 
     def list_service(self, service: str) -> list[ServerState]:
-        """Return the servers of a service, in a fixed order."""
+        """Return the servers of a service, sorted by id."""
         states = [s for s in self.by_id.values() if s.info.service == service]
         return sorted(states, key=lambda state: state.info.id)
 
     def list_usable(self, service: str, now: float) -> list[ServerState]:
-        """Return those that may get new work now.
+        """Return the servers of a service that may get new requests now.
 
-        Where all entries of a service vanished with the store, its servers are
-        used on, as they were before.
+        If there are none, those whose rows disappeared in an outage are used.
         """
         states = self.list_service(service)
         usable = [state for state in states if state.is_usable(now)]
@@ -356,10 +352,7 @@
         ]
 
     def note_peer_loads(self, peer: str, loads: dict[str, Load], now: float) -> None:
-        """Take what one life of a peer says of its work at each start of a server.
-
-        What is told of another start than the one that is known counts nowhere.
-        """
+        """Record a peer's loads by start id; those of other starts don't count."""
         self._peer_loads[peer] = (now, loads)
         self._totals_until = float("-inf")
         for expired in [
@@ -370,12 +363,12 @@
             del self._peer_loads[expired]
 
     def retain_peer_loads(self, peers: Container[str]) -> None:
-        """Forget all loads but those of ``peers``, which include what others told."""
+        """Keep only the loads of ``peers``, which include those of other peers."""
         self._peer_loads = {p: t for p, t in self._peer_loads.items() if p in peers}
         self._totals_until = float("-inf")
 
     def sum_load(self, server_id: str, now: float) -> Load:
-        """Return the work of all instances at a server, as far as is known."""
+        """Return the known load of all instances at a server."""
         if now >= self._totals_until:
             self._sum_peers(now)
         state = self.by_id.get(server_id)
@@ -398,7 +391,7 @@
         self._totals_until = until
 
     def list_own_loads(self) -> dict[str, Load]:
-        """Return this instance's work by start of a server, without idle ones."""
+        """Return this instance's load by the id of a start, without idle starts."""
         return {
             state.info.start_id: state.load
             for state in self.by_id.values()
--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves in their answers."""
+"""Directives in servers' answers: rate limit, leaving and backoff."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
     from ashpond.gateway.calls import AnswerMarks
     from ashpond.gateway.decisionlog import DecisionLog
 
-# Gets a server whose limit has changed, and its limit before (requests a second).
+# Takes a server whose limit has changed, and its previous limit (requests a second).
 OnLimit = Callable[["ServerState", float | None], None]
 MISDIRECTED = 421
-# A longer backoff is kept for so long (seconds).
+# Longer backoffs are cut to this (seconds).
 MAX_BACKOFF_SECONDS = 3600.0
-# Instances that were rejected together return one after the other: each up to this
-# share of the backoff later, and no more than so many seconds.
+# A random jitter keeps instances that were rejected together from retrying at once: up
+# to this share of the backoff, and no more than so many seconds.
 JITTER_SHARE = 0.1
 MAX_JITTER_SECONDS = 0.5
 
 
 class ServerDirectives:
-    """Takes what answers, and peers, say of servers, and tells the peers what is new.
+    """The handler of directives in answers and notices, which notifies the peers.
 
-    :param count: counts a statement by its kind.
-    :param tell: tells the peers.
+    :param count_event: counts an event by its name.
+    :param send_notice: sends a notice to the peers.
     :param on_limit: is called when a limit has changed.
-    :param on_leaving: is called when a server has said that it leaves.
+    :param on_leaving: is called when a server has announced that it leaves.
     """
 
     def __init__(
@@ -65,13 +65,14 @@
     def apply_answer(
         self, state: ServerState, status: int, marks: AnswerMarks, sent_at: float
     ) -> None:
-        """Take what an answer says of its server.
+        """Apply the directives in an answer, unless they are another server's.
 
-        :param sent_at: when the request of the answer was sent.
+        :param sent_at: when the request was sent, on this process's clock (seconds).
         """
         if marks.server_id not in (None, state.info.id):
             return
-        # Another server may be at the address and not tell its id.
+        # A 421 without an id may come from another server at the address, so that a
+        # missing limit does not lift the known one.
         is_from_server = status != MISDIRECTED or marks.server_id is not None
         self._apply_limit(state, marks, sent_at, is_from_server=is_from_server)
         if marks.is_leaving_invalid:
@@ -82,7 +83,7 @@
             self._apply_backoff(state, marks)
 
     def apply_notice(self, state: ServerState, notice: ServerNotice) -> None:
-        """Take a notice of a peer of what a server says."""
+        """Apply the directives in a peer's notice."""
         if notice.is_leaving:
             self._note_leaving(state, "peer")
         if notice.limit is not None:
@@ -119,10 +120,10 @@
     def _resend_raised_limit(
         self, state: ServerState, sent_at: float, now: float
     ) -> None:
-        """Tell once more of a limit that was raised or lifted a moment ago.
+        """Send a raised or lifted limit a second time, once it is confirmed.
 
-        A peer that read an answer with the limit before, just then, does not believe
-        the first notice: it cannot tell which of the two is older.
+        A peer that received an answer with the previous limit at that time ignores the
+        first notice, because it cannot determine which of the two is older.
         """
         raised_at = state.limit_raised_at
         if raised_at is not None and sent_at >= raised_at + 2 * MAX_NOTICE_AGE_SECONDS:
@@ -154,7 +155,7 @@
             self._send_notice(notice)
 
     def _apply_backoff(self, state: ServerState, marks: AnswerMarks) -> None:
-        """Take the backoff that a server asks this instance for."""
+        """Apply the backoff that a server asks this instance for, with jitter."""
         if marks.is_backoff_invalid:
             self._note(state, "server_backoff_invalid")
         if marks.backoff is None:
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -1,4 +1,4 @@
-"""What calls here, and peers, tell of backend servers besides their entries."""
+"""Updates of servers' states from calls of this instance and from peers."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class ServerUpdates:
-    """Takes what is heard of servers, and tells the peers what was seen here.
+    """The handler of updates of servers, received from peers and sent to them.
 
-    :param get_news: returns where the peers are told.
-    :param get_rollouts: returns who gives orders to engines.
-    :param wake: looks for places for calls that wait.
+    :param get_news: returns the exchange of updates with the peers.
+    :param get_rollouts: returns the controller of weights orders.
+    :param wake: retries the reservations that wait for a slot.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         self._wake = wake
 
     def on_new_start(self, previous: ServerState, state: ServerState) -> None:
-        """Forget what is known, beside the table, of a server's earlier start.
+        """Remove what other components keep for a server's previous start.
 
-        Calls in flight there end with their connections, which the server's end has
-        broken; none of them counts as not run, whatever the new start knows.
+        Calls in flight there fail with their connections. None of them counts as not
+        run, whatever the new start reports.
         """
         server_id = state.info.id
         self._holdings.remove_server(server_id)
@@ -77,7 +77,7 @@
         self._wake()
 
     def on_notice(self, notice: ServerNotice) -> None:
-        """Take a peer's notice of a change at a server."""
+        """Apply a peer's notice of a change at a server, unless its start is older."""
         now = trio.current_time()
         weights = {notice.model: notice.version} if notice.version else {}
         order = self._table.note_start(notice.server_id, notice.born, now, weights)
@@ -103,14 +103,14 @@
             self._wake()
 
     def on_cache_entry(self, entry: CacheEntry) -> None:
-        """Take a peer's word of what an engine has read."""
+        """Apply a peer's cache entry, unless it is of an older start."""
         now = trio.current_time()
         order = self._table.note_start(entry.server_id, entry.started_ms, now)
         if order is not StartOrder.OLDER:
             self._holdings.note_reported(entry, now)
 
     def note_cached_prompt(self, state: ServerState, salt: str, prompt: Prompt) -> None:
-        """Note, and tell, that an engine has read a prompt."""
+        """Record that an engine has read a prompt, and send that to the peers."""
         if not self._table.is_current(state):
             return
         now = trio.current_time()
@@ -121,12 +121,12 @@
             self._get_news().tell_holding(entry)
 
     def on_entry_gone(self, gone: ServerState) -> None:
-        """Forget a server whose entry has gone."""
+        """Record a crash of a server whose row is gone; close its connections."""
         self._ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
         self._pool.forget(gone.owner)
 
     def on_connection_refused(self, server: WatchedServer) -> None:
-        """Send nothing more to a server that takes no connections, and tell so."""
+        """Exclude a server that refuses connections, and notify the peers."""
         state = self._table.by_id.get(server.id)
         if state is None or state.owner != server.owner:
             return
@@ -135,7 +135,7 @@
         self.announce_unreachable(state, exclusion_seconds)
 
     def announce_unreachable(self, state: ServerState, seconds: float) -> None:
-        """Tell the peers that a server could not be reached."""
+        """Notify the peers that a connection to a server failed."""
         info = state.info
         notice = ServerNotice(info.id, "", 0, seconds, True, born=info.started_ms)
         self._get_news().announce(notice)
