--- a/ashpond/filters/__init__.py
+++ b/ashpond/filters/__init__.py
@@ -1,13 +1,13 @@
-"""The way of a request: the filters, in the order in which it passes them.
+"""The filter chain of a call; the filters run in this order.
 
-1. ``accounting``: counts what becomes of every call.
-2. ``authentication``: which team calls.
-3. ``parsing``: what is asked for, checked.
-4. ``quarantine``: refuses what ends the servers that run it.
-5. ``limits``: the team's request rate.
-6. ``admission``: waits for a place, or leaves at once.
+1. ``accounting``: counts the outcome of every call.
+2. ``authentication``: identifies the calling team.
+3. ``parsing``: parses and validates body and headers.
+4. ``quarantine``: refuses calls that crash the servers that run them.
+5. ``limits``: enforces the team's request rate.
+6. ``admission``: waits for an admission slot, or refuses the call at once.
 7. ``idempotency``: claims a call that may run at most once.
-8. ``dispatch``: places the call on a backend server and passes its answer on.
+8. ``dispatch``: sends the call to a backend server and forwards its answer.
 """
 
 from __future__ import annotations
--- a/ashpond/filters/accounting.py
+++ b/ashpond/filters/accounting.py
@@ -1,4 +1,4 @@
-"""Count what becomes of every call, for metrics and the burn report."""
+"""Count the outcome of every call, for metrics and the error budget burn report."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def make_accounting(
     configuration: ConfigurationController, burn: BurnController, metrics: Metrics
 ) -> Filter:
-    """Return the filter."""
+    """Return the filter that counts the outcome of every call when it exits."""
 
     async def count_outcome(call: Call, following: Handler) -> Reply:
         reply = await following(call)
--- a/ashpond/filters/admission.py
+++ b/ashpond/filters/admission.py
@@ -1,4 +1,4 @@
-"""Let a call wait for a place, or send it away at once."""
+"""Let a call wait for an admission slot, or refuse it at once."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def estimate_cost(call: Call) -> float:
-    """Return what a call costs its team, in seconds of an engine."""
+    """Return the cost that a call adds to its team's share, in engine seconds.
+
+    The prompt counts as uncached: admission comes before the choice of a server.
+    """
     if call.payload is None:
         return PLAIN_COST_SECONDS
     prefill = call.prompt_tokens / DEFAULT_PREFILL_RATE
@@ -28,7 +31,7 @@
 
 
 def make_admission(admission: AdmissionController, metrics: Metrics) -> Filter:
-    """Return the filter."""
+    """Return the filter that holds an admission slot until the call exits."""
 
     async def admit(call: Call, following: Handler) -> Reply:
         slot = await admission.enter(call, estimate_cost(call))
--- a/ashpond/filters/authentication.py
+++ b/ashpond/filters/authentication.py
@@ -1,4 +1,4 @@
-"""Find out which team calls, by its bearer key."""
+"""Identify the calling team by its bearer key."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 def find_team(configuration: Configuration, header: str) -> str | None:
     """Return the name of the team that an Authorization header belongs to.
 
-    All digests are compared, each in constant time.
+    All digests are compared, each in constant time, so that the time taken does not
+    depend on which one matches.
     """
     if not header.lower().startswith(BEARER) or len(header) > MAX_KEY_LENGTH:
         return None
@@ -38,7 +39,7 @@
 
 
 def make_authentication(configuration: ConfigurationController) -> Filter:
-    """Return the filter."""
+    """Return the filter that sets a call's team, or refuses the call."""
     refusal = Refusal(UNAUTHORIZED, "unauthorized", "no valid bearer key")
 
     async def authenticate(call: Call, following: Handler) -> Reply:
--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -1,4 +1,4 @@
-"""Send a call to a backend server, with retries, and pass its answer on."""
+"""Send a call to a backend server, with retries, and forward its answer."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class _Attempt(NamedTuple):
-    """One attempt on its way: where it goes and its place in the load count."""
+    """An attempt in progress: its server, its id and its entry in the server's load."""
 
     placement: Placement
     name: str
@@ -58,7 +58,7 @@
 
 
 class Dispatcher:
-    """Holds the connections to backend servers and the retry budgets."""
+    """Sends calls to backend servers; holds the connections and the retry budgets."""
 
     def __init__(
         self,
@@ -83,12 +83,12 @@
         self._budgets: dict[str, RetryBudget] = {}
         connect = settings.timing.connect_timeout
         self._client = client
-        # A connection that was closed while idle would look like a lost
-        # request, which may not be sent again.
+        # For calls that may not be retried: if the server closes a kept connection just
+        # as a request is sent, the request counts as possibly run.
         self._single_use_client = make_client(connect, STALL_SECONDS, keep_alive=False)
 
     async def dispatch(self, call: Call) -> Reply:
-        """Run a call; the last step of the filter chain."""
+        """Send a call, with retries where allowed; the last step of the filter chain."""
         claim = call.claim_attempt
         if claim is not None and not self._claims.registry.mark_sent(claim):
             text = "another instance was told that this attempt will not run"
@@ -111,7 +111,7 @@
                 outcome,
                 repeatable=call.repeatable,
                 attempts=attempts,
-                # One attempt shows whether it ends the next server too.
+                # One attempt shows whether the call crashes another server too.
                 max_attempts=1 if call.is_suspected else call.service.max_attempts,
                 now=trio.current_time(),
                 deadline=call.deadline,
@@ -250,10 +250,11 @@
     async def _open_before_timeout(
         self, call: Call, attempt: _Attempt
     ) -> Answered | NotRun | MaybeRun:
-        """Wait for the answer's head as long as there is hope for one.
+        """Wait for the head of the answer until the timeout.
 
-        An engine that is only busy still reports its load. To give up on it and
-        ask another one would add to the load that made it late.
+        A repeatable call gives up earlier if its engine no longer reports its load.
+        An engine that is merely busy still does, and sending the call elsewhere would
+        add to the load that delays it.
         """
         assert call.service is not None
         outcome: Answered | NotRun | MaybeRun = MaybeRun("no answer in time")
@@ -263,7 +264,8 @@
                     nursery.start_soon(self._cancel_if_unresponsive, attempt, nursery)
                 outcome = await self._open(call, attempt, after=0)
                 if isinstance(outcome, Answered):
-                    # At once: the caller's end may be the next step.
+                    # Registered at once, since the call may be cancelled in the next
+                    # step, and nothing else would close the response.
                     call.exits.push_async_callback(close_response, outcome.response)
                 nursery.cancel_scope.cancel()
         return outcome
@@ -339,7 +341,7 @@
         if placement is None or placement.server == attempt.placement.server:
             return None
         if placement.weights != attempt.placement.weights:
-            # Other weights would go on with another text.
+            # Other weights would continue with a different text.
             return None
         other = _Attempt(placement, uuid.uuid4().hex, attempt.in_flight)
         outcome = await self._open(call, other, after)
--- a/ashpond/filters/idempotency.py
+++ b/ashpond/filters/idempotency.py
@@ -1,4 +1,4 @@
-"""Run a call with an idempotency key at most once over all instances."""
+"""Run a call with an idempotency key at most once across all instances."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_idempotency(claims: ClaimsController, metrics: Metrics) -> Filter:
-    """Return the filter."""
+    """Return the filter that claims a call's key before the call is sent."""
 
     async def claim_once(call: Call, following: Handler) -> Reply:
         if call.idempotency_key is None:
@@ -54,7 +54,7 @@
         return reply._replace(body=record_stream(call, claim, reply, reply.body))
 
     def release_if_not_run(call: Call, claim: Claim) -> None:
-        # A call whose outcome is unknown keeps its claim: nobody may run it.
+        # A call whose outcome is unknown keeps its claim, so that it never runs again.
         if call.progress.run is RunState.NOT_RUN:
             claims.release(claim)
 
@@ -67,7 +67,8 @@
                 parts.append(part)
                 yield part
         finally:
-            # A caller who has the end event may leave before the engine's own end.
+            # The caller may disconnect right after the end event, before the engine
+            # closes the stream, so the end event decides whether the answer is whole.
             if call.progress.is_whole:
                 claims.finish(claim, pack_reply(reply, b"".join(parts)))
             await body.aclose()  # type: ignore[attr-defined]
@@ -83,7 +84,7 @@
 
 
 def digest_call(call: Call) -> str:
-    """Return a digest by which another request under the same key is known."""
+    """Return a digest that tells apart different requests under the same key."""
     head = f"{call.method} {call.path}?{call.query}\n".encode()
     return hashlib.sha256(head + call.body).hexdigest()
 
--- a/ashpond/filters/limits.py
+++ b/ashpond/filters/limits.py
@@ -1,4 +1,4 @@
-"""Hold each team to its request rate."""
+"""Enforce each team's request rate."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_limits(limits: LimitsController, metrics: Metrics) -> Filter:
-    """Return the filter."""
+    """Return the filter that refuses calls above the rate, with a Retry-After."""
 
     async def limit(call: Call, following: Handler) -> Reply:
         assert call.team is not None
--- a/ashpond/filters/parsing.py
+++ b/ashpond/filters/parsing.py
@@ -1,4 +1,4 @@
-"""Check what a call asks for and read its headers."""
+"""Parse and validate the body and headers of a call."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class _InvalidCall(Exception):
-    """Stops the parsing of one call; never leaves this module."""
+    """A call that is refused; raised and caught within this module only."""
 
     def __init__(self, status: int, kind: str, message: str):
         self.refusal = Refusal(status, kind, message)
@@ -43,7 +43,7 @@
 
 
 def make_parsing(configuration: ConfigurationController) -> Filter:
-    """Return the filter."""
+    """Return the filter that parses a call, or refuses an invalid one."""
 
     async def parse(call: Call, following: Handler) -> Reply:
         try:
@@ -57,7 +57,10 @@
 
 
 def parse_call(call: Call, configuration: Configuration) -> Call:
-    """Return the call with all that its body and headers say."""
+    """Return the call with the fields that its body and headers give.
+
+    :raises _InvalidCall: if a part of the call is invalid or not allowed to the team.
+    """
     if call.kind is not CallKind.PLAIN:
         call = _parse_body(call)
     call = _find_service(call, configuration)
@@ -90,7 +93,8 @@
     assert call.team is not None
     expected_kind = "plain" if call.kind is CallKind.PLAIN else "model"
     service = configuration.services.get(call.service_name)
-    # A service that the team may not use looks like one that is not there.
+    # A service that the team may not use gets the same answer as an unknown one, so
+    # that the answer does not disclose its name.
     is_allowed = call.service_name in call.team.services
     if service is None or service.kind != expected_kind or not is_allowed:
         text = f"no {expected_kind} service {call.service_name!r:.80} for this team"
@@ -105,13 +109,13 @@
     if key is not None and not 0 < len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH:
         text = f"Idempotency-Key must have 1 to {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
         raise _InvalidCall(BAD_REQUEST, "bad_header", text)
-    # A caller may forbid repeats, never allow what the service forbids.
+    # A caller may forbid retries, but not allow them where the service forbids them.
     repeatable = _read_flag(call.headers, REPEATABLE_HEADER, True)
     bound = _read_deadline(call.headers, service.deadline_seconds)
     return call._replace(
         priority=_read_priority(call, configuration),
         deadline=call.arrived + bound,
-        # A key asks for one run over all instances, so it is not repeated.
+        # A call with an idempotency key runs at most once, so it is not retried.
         repeatable=repeatable and service.repeatable and key is None,
         resumable=_read_flag(call.headers, RESUMABLE_HEADER, False),
         idempotency_key=key,
@@ -192,7 +196,10 @@
 
 
 def _read_levels(call: Call, prompt: str, message_ends: list[int]) -> list[int]:
-    """Return offsets: counts of messages for a chat, of characters for a text."""
+    """Return where the prompt's prefix levels end, as offsets in characters.
+
+    The header counts messages for a chat and characters for a text prompt.
+    """
     value = call.headers.get(LEVELS_HEADER)
     if value is None:
         return message_ends[-MAX_LEVELS:]
--- a/ashpond/filters/placement.py
+++ b/ashpond/filters/placement.py
@@ -1,4 +1,4 @@
-"""Place a call on a backend server, by the policy that the settings name."""
+"""Choose the backend server for a call by the policy in the settings."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 class Placement(NamedTuple):
-    """Where an attempt goes, and under which cache identity."""
+    """The server of an attempt, and the cache identity that the attempt uses there.
+
+    ``expected_cached`` counts blocks of the prompt.
+    """
 
     server: str
     address: str
@@ -47,10 +50,10 @@
 def make_placement(
     settings: Settings, engines: EnginesController, rng: random.Random
 ) -> PlacementPolicy:
-    """Return the function that places a call.
+    """Return the function that chooses the server of an attempt.
 
-    It takes the call and the servers to avoid, and returns ``None`` if no
-    server is left at all.
+    It takes the call and the names of the servers to skip, and returns ``None`` if
+    no usable server is left.
     """
     counter = itertools.count()
     is_sampled = settings.cache_event_sample > 1
@@ -85,7 +88,7 @@
     ) -> ChosenEngine:
         now = trio.current_time()
         if call.is_suspected:
-            # Whatever runs beside it may be lost with the server.
+            # The call may crash its server, and calls that run beside it would be lost.
             least_loaded = choose_least_loaded(candidates, now, rng)
             assert least_loaded is not None
             return make_choice(least_loaded)
@@ -114,12 +117,16 @@
 
 
 def make_choice(candidate: Candidate) -> ChosenEngine:
-    """Return a placement that was not chosen by expected times."""
+    """Return a choice made without estimated times: ``expected_seconds`` is zero."""
     return ChosenEngine(candidate.name, 0.0, candidate.cached_blocks)
 
 
 def choose_by_hash(candidates: list[Candidate], chain: PrefixChain) -> Candidate:
-    """Return the rendezvous home of the prompt's last but one level."""
+    """Return the home of the prompt's last but one prefix level.
+
+    The home is the server that ranks first by rendezvous hashing. The last level is
+    left out where there are several.
+    """
     level = chain.levels[max(0, len(chain.levels) - 2)]
     names = [candidate.name for candidate in candidates]
     home = rank_by_rendezvous(chain.blocks[level - 1], names)[0]
@@ -127,29 +134,32 @@
 
 
 def hash_for_weights(call: Call, usable: list[ServerState]) -> dict[str, PrefixChain]:
-    """Return the prompt's chain for each weights version that servers run.
+    """Return the prompt's block hashes for each weights version that servers run.
 
-    There is more than one only while new weights are rolled out.
+    There are several versions only while new weights are rolled out.
     """
     versions = {find_weights(call, state) for state in usable}
     return {version: hash_call(call, version) for version in sorted(versions)}
 
 
 def hash_call(call: Call, weights: str) -> PrefixChain:
-    """Return the prompt's chain under one weights version."""
+    """Return the prompt's block hashes for one weights version."""
     if not call.prompt:
         return NO_BLOCKS
     return hash_prompt(make_seed(call, weights), call.prompt, list(call.level_ends))
 
 
 def make_seed(call: Call, weights: str) -> PrefixSeed:
-    """Return what two prompts must share to share cached blocks."""
+    """Return the seed of the block hashes.
+
+    Prompts share cached blocks only within one team, model and weights version.
+    """
     assert call.service is not None
     return PrefixSeed(call.team_name, call.service.model, weights)
 
 
 def find_weights(call: Call, state: ServerState) -> str:
-    """Return the weights that a server runs, the declared ones if not known."""
+    """Return the weights that a server reported, else those of the configuration."""
     assert call.service is not None
     if state.report is not None and state.report.weights:
         return state.report.weights
--- a/ashpond/filters/quarantine.py
+++ b/ashpond/filters/quarantine.py
@@ -1,4 +1,4 @@
-"""Keep calls that end servers away from them."""
+"""Refuse calls that crash the servers that run them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 QUARANTINED = Refusal(
     BAD_REQUEST, "quarantined", "the backend servers that ran this call ended"
 )
-# A case settles in 1.5 s, an attempt that is on its way mostly ends before (seconds).
+# Suspicions are settled within 1.5 s; most attempts in progress end earlier (seconds).
 SUSPECTED = Refusal(
     SERVICE_UNAVAILABLE,
     "suspected",
@@ -31,7 +31,11 @@
 
 
 def make_quarantine(call_quarantine: CallQuarantine, metrics: Metrics) -> Filter:
-    """Return the filter."""
+    """Return the filter that refuses quarantined calls and suspected ones in progress.
+
+    One attempt of a suspected call runs at a time; it shows whether the call crashes
+    its server.
+    """
 
     def refuse(refusal: Refusal) -> Reply:
         metrics.refusals.inc({"kind": refusal.kind})
@@ -61,7 +65,7 @@
 
 
 def is_fully_answered(call: Call, replies: list[Reply]) -> bool:
-    """Return whether a server has answered a call whole."""
+    """Return whether a server has answered a call completely and without an error."""
     if not replies or replies[0].status >= SERVER_ERROR:
         return False
     if call.progress.run is not RunState.RUN:
--- a/ashpond/filters/relay.py
+++ b/ashpond/filters/relay.py
@@ -1,4 +1,4 @@
-"""Pass an engine's stream on: complete, in order, going on after a cut."""
+"""Forward an engine's stream completely and in order, resuming it after a break."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class StreamSource(NamedTuple):
-    """How the relay reaches the engines.
+    """The functions by which the relay reopens and cancels an engine's stream.
 
-    ``reopen`` goes on after an event, on the engine of the current answer or on
-    another one, and returns ``None`` if that cannot be done. ``cancel`` tells
-    the engine that nobody waits any more.
+    ``reopen`` resumes the stream after a given event, on the engine of the current
+    answer or on another one, and returns ``None`` if that fails. ``cancel`` tells
+    the engine that the client has disconnected.
     """
 
     reopen: Callable[[EngineAnswer, Continue], Awaitable[EngineAnswer | None]]
@@ -43,7 +43,7 @@
 async def relay_stream(
     call: Call, answer: EngineAnswer, source: StreamSource, metrics: Metrics, after: int
 ) -> AsyncIterator[bytes]:
-    """Yield the caller's bytes until the end event, or an error event.
+    """Yield the stream for the caller, up to its end event or an error event.
 
     :param after: number of the last event that the caller already has.
     """
@@ -58,7 +58,8 @@
             try:
                 async for batch in batches:
                     new_events = filter_batch(batch, sequence)
-                    # Before it is handed on: with the end a caller may leave.
+                    # Set before the chunk is yielded: the caller may disconnect once it
+                    # has the end event.
                     finished = new_events.is_end
                     call.progress.is_whole = finished
                     if new_events.chunk:
@@ -92,9 +93,9 @@
 
 
 class NewEvents(NamedTuple):
-    """What a batch of events holds for the caller.
+    """The events of a batch that the caller does not have yet, as bytes.
 
-    ``is_cut`` tells that events are missing after ``chunk``.
+    ``has_gap`` is set if events are missing after ``chunk``.
     """
 
     chunk: bytes
@@ -103,7 +104,7 @@
 
 
 def filter_batch(batch: list[StreamEvent], sequence: EventSequence) -> NewEvents:
-    """Return the new events of a batch, up to its end or a gap."""
+    """Return the new events of a batch, up to the end event or a gap."""
     parts: list[bytes] = []
     for event in batch:
         action = sequence.check(event.number)
@@ -117,7 +118,7 @@
 
 
 async def drain_batches(batches: AsyncIterator[list[StreamEvent]]) -> None:
-    """Read what follows the end event, so that the connection serves again."""
+    """Read the rest after the end event, so that the connection can be reused."""
     with trio.move_on_after(CLEANUP_SECONDS):
         try:
             async for _ in batches:
@@ -133,7 +134,10 @@
     resumes: int,
     source: StreamSource,
 ) -> EngineAnswer | str:
-    """Return the stream's continuation, or why there is none."""
+    """Resume the stream on the same engine, else on another one.
+
+    :return: the answer that continues the stream, or the reason why there is none.
+    """
     assert call.service is not None
     for engine_lost in (False, True):
         plan = plan_continuation(
@@ -152,7 +156,7 @@
 
 
 def make_stream_error(reason: str) -> bytes:
-    """Return the event that tells the caller that the stream is not complete."""
+    """Return the error event that marks the stream as incomplete."""
     refusal = Refusal(BAD_GATEWAY, "stream_cut", reason, RunState.OUTCOME_UNKNOWN)
     return make_error_event(refusal)
 
--- a/ashpond/filters/resumption.py
+++ b/ashpond/filters/resumption.py
@@ -1,4 +1,4 @@
-"""Go on with streams: on the engine that has them, or for a caller that returns."""
+"""Resume streams on the engine that runs them, also for a caller that reconnects."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 async def resume_on_same_engine(
     client: httpx.AsyncClient, current: EngineAnswer, after: int
 ) -> EngineAnswer | None:
-    """Return the rest of a stream from the incarnation that began it."""
+    """Return the rest of a stream from the engine incarnation that started it.
+
+    ``None`` is returned if that incarnation does not answer or has restarted.
+    """
     return await _resume(
         client, current.address, current.stream, current.incarnation, after
     )
@@ -53,7 +56,10 @@
 def make_cancel(
     client: httpx.AsyncClient, call: Call
 ) -> Callable[[EngineAnswer], Awaitable[None]]:
-    """Return what is done to a stream whose caller has gone away."""
+    """Return the function that cancels a stream whose caller has disconnected.
+
+    A stream that the caller may resume is left running.
+    """
 
     async def cancel(answer: EngineAnswer) -> None:
         if not call.resumable:
@@ -65,7 +71,7 @@
 def make_resumption(
     client: httpx.AsyncClient, engines: EnginesController, metrics: Metrics
 ) -> ResumeForCaller:
-    """Return the function that serves a caller who returns with a token."""
+    """Return the function that resumes a stream for a caller with a stream token."""
 
     async def reopen(current: EngineAnswer, plan: Continue) -> EngineAnswer | None:
         if not plan.same_engine:
@@ -82,7 +88,8 @@
         if answer is None:
             text = "the engine no longer has the stream"
             return Refusal(GONE, "stream_gone", text, RunState.OUTCOME_UNKNOWN)
-        # A body that nobody begins to read closes nothing.
+        # If the caller leaves before the first read, the generator never starts and
+        # its cleanup does not run, so the response is closed when the call exits.
         call.exits.push_async_callback(close_response, answer)
         source = StreamSource(reopen, make_cancel(client, call))
         body = relay_stream(call, answer, source, metrics, after)
