--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -123,7 +123,7 @@
             lambda: self.members.count(),
         )
         self.leave_event = trio.Event()
-        self.reservations = ReservationQueue(
+        self.slot_queue = ReservationQueue(
             self.table,
             self.cache_index,
             self.cache_stores,
@@ -152,7 +152,7 @@
             self.directives,
             lambda: self.news,
             lambda: self.rollouts,
-            self.reservations.assign,
+            self.slot_queue.assign,
         )
         self.table.on_new_start = self.server_updates.on_new_start
         self.members = Members(
@@ -178,10 +178,7 @@
             has_server_limits=self.table.has_limits,
         )
         self.permits = Permits(
-            self.allowances,
-            self.metrics.count_permit,
-            self.rng,
-            self.reservations.assign,
+            self.allowances, self.metrics.count_permit, self.rng, self.slot_queue.assign
         )
         self.news = Newsroom(
             self.members,
@@ -222,7 +219,7 @@
             log,
             lambda: list(self.members.by_name),
             self.news.announce,
-            self.reservations.assign,
+            self.slot_queue.assign,
             self.retry_budgets.measure_left,
             settings.bounds.lease_ms / MS,
             lambda: self.news.measure_lag(),
@@ -231,7 +228,7 @@
         )
         self.dispatcher = Dispatcher(
             Tools(
-                self.reservations,
+                self.slot_queue,
                 pool,
                 platform.codec,
                 platform.id_header,
@@ -324,7 +321,7 @@
         self.ingress.apply_limits()
 
     def _on_servers(self) -> None:
-        self.reservations.assign()
+        self.slot_queue.assign()
         self.rollouts.note_change()
 
     def _find_required_version(self, model: str, now: float) -> int:
--- a/ashpond/gateway/status.py
+++ b/ashpond/gateway/status.py
@@ -44,7 +44,7 @@
             "fence": lease.fence,
         },
         "cache_stores_up": gateway.cache_stores.count_up(),
-        "waiting": gateway.reservations.waiting,
+        "waiting": gateway.slot_queue.waiting,
         "open_calls": gateway.ingress.open_calls,
         "log_lines_dropped": dict(gateway.log.dropped),
         "repeats_left": {
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -209,13 +209,13 @@
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
     demand = Demand("reader", MODEL, PROMPT, "wall")
-    place = await gateway.reservations.reserve(demand, 0, trio.current_time())
+    place = await gateway.slot_queue.reserve(demand, 0, trio.current_time())
     assert place is not None
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
-    place = gateway.reservations.note_prompt_read(place)
+    place = gateway.slot_queue.note_prompt_read(place)
     gateway.server_updates.note_cached_prompt(place.state, SALT, PROMPT)
-    gateway.reservations.release(place)
+    gateway.slot_queue.release(place)
     assert state.load == Load()
     assert not gateway.cache_index.count_tokens_by_server(
         SALT, PROMPT, trio.current_time()
