--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -88,7 +88,7 @@
         self._single_use_client = make_client(connect, STALL_SECONDS, keep_alive=False)
 
     async def dispatch(self, call: Call) -> Reply:
-        """Send a call, with retries where allowed; the last step of the filter chain."""
+        """Send a call, with retries where allowed; this ends the filter chain."""
         claim = call.claim_attempt
         if claim is not None and not self._claims.registry.mark_sent(claim):
             text = "another instance was told that this attempt will not run"
--- a/ashpond/gateway/__init__.py
+++ b/ashpond/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Routed calls: any HTTP request, sent to the backend server that its route names."""
+"""Routed calls: HTTP requests sent to the backend servers that their routes name."""
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -1,4 +1,4 @@
-"""Put one instance for routed calls together and run it."""
+"""Construct a gateway instance from its parts and run it."""
 
 from __future__ import annotations
 
@@ -48,23 +48,21 @@
 from ashpond.runtimeclock import SuspensionWatch
 
 MS = 1000.0
-# Knowledge older than this share of the revocation bound: clients go elsewhere.
+# Ready only while the configuration data is younger than this share of its bound.
 READY_SHARE = 0.55
-# Requests may wait at a server before they begin: older weights are left at this
-# share of the bound.
+# Old weights are avoided from this share of their bound: requests may wait at servers.
 REQUIRED_SHARE = 0.85
-# From SIGTERM until new connections stop arriving: two checks, a second apart.
+# From SIGTERM until no more clients connect: two readiness checks, a second apart.
 LEAVE_SECONDS = 2.6
-# For a slow store to take this instance off the list of members.
+# Timeout for removing this instance from the list of members in a slow store.
 LEAVE_MEMBERS_SECONDS = 1.0
-# Kept back from the grace period for the end of the process (seconds).
+# Part of the grace period that is left for the exit of the process (seconds).
 GRACE_MARGIN_SECONDS = 0.4
-# The settings file may change without a signal; it is read again so often.
-SETTINGS_SECONDS = 2.0
+SETTINGS_SECONDS = 2.0  # The file is read so often, as it may change without a signal.
 
 
 class Gateway:
-    """One instance."""
+    """A gateway instance: its state, tasks and servers."""
 
     def __init__(
         self,
@@ -272,11 +270,11 @@
 
     @property
     def settings(self) -> GatewaySettings:
-        """The settings in force; addresses that it listens on need a restart."""
+        """The current settings; a changed listening address takes effect on restart."""
         return self.settings_file.current
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then let what is in flight end."""
+        """Serve until SIGTERM, then let calls in flight end."""
         self.log.note("started", settings=self.settings._asdict())
         self.connection_log.watch.start()
         async with trio.open_nursery() as nursery:
@@ -343,7 +341,7 @@
         return declaration.limits if declaration else IngressLimits()
 
     def is_ready(self) -> bool:
-        """Return whether clients should come here."""
+        """Return whether clients should connect to this instance."""
         is_informed = self.knowledge.declaration and self.table.is_known
         if self.leave_event.is_set() or not is_informed:
             return False
@@ -388,14 +386,14 @@
             self.log.note("reload", cause=cause, settings=self.settings._asdict())
 
     def leave(self) -> None:
-        """Take no new connections, end what is in flight, then stop."""
+        """Begin the shutdown: no new connections, then the end of calls in flight."""
         self.log.note("stopping", open_calls=self.ingress.open_calls)
         self.ingress.is_leaving = True
         self.leave_event.set()
 
     async def _wait_to_close(self) -> None:
         await self.leave_event.wait()
-        # Counted from here, whatever the store takes: the grace period is.
+        # The grace period starts now, so a slow store must not delay the close.
         closes_at = trio.current_time() + LEAVE_SECONDS
         with trio.move_on_after(LEAVE_MEMBERS_SECONDS):
             await self.members.leave()
--- a/ashpond/gateway/cleanup.py
+++ b/ashpond/gateway/cleanup.py
@@ -1,4 +1,4 @@
-"""Free what an instance knows and does not need any more."""
+"""Periodic removal of expired state from the memory of an instance."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from ashpond.gateway.application import Gateway
 
 EXPIRY_SECONDS = 0.5
-# What engines were heard to hold ages by itself; only its memory is freed so often
+# Cache entries expire by their own times, so this interval only affects memory use
 # (seconds).
 MEMORY_CLEANUP_SECONDS = 2.0
 
 
 async def run_cleanup(gateway: Gateway) -> None:
-    """Forget what has expired, until cancelled."""
+    """Remove expired state, and the servers whose entries have expired."""
     cleaned_at = trio.current_time()
     while True:
         await trio.sleep(EXPIRY_SECONDS)
--- a/ashpond/gateway/connectionlog.py
+++ b/ashpond/gateway/connectionlog.py
@@ -1,4 +1,4 @@
-"""Record how calls and connections end, and how the event loop was held up."""
+"""Log and count the ends of calls and connections, and event loop delays."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from ashpond.gateway.ingress import CutCall
     from ashpond.gateway.metrics import GatewayMetrics
 
-# Stalls of the event loop from this length on leave a line (seconds).
+# Shorter delays of the event loop are counted, but not logged (seconds).
 LOGGED_DELAY_SECONDS = 0.05
-# Ends of idle connections that need no line.
+# Causes for which the close of an idle connection is counted, but not logged.
 UNLOGGED_CAUSES = (ClosedBy.CLIENT, ClosedBy.LAST_ANSWER)
 
 
 class ConnectionLog:
-    """Counts every end, and leaves a line for those that may need an explanation.
+    """Counts every end of a call or connection; logs those that may need explaining.
 
-    :param count_calls: how many calls are open.
-    :param is_leaving: whether the instance is about to stop.
+    :param count_calls: returns the number of open calls.
+    :param is_leaving: returns whether the instance is shutting down.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._is_leaving = is_leaving
 
     def note_cut(self, cut: CutCall) -> None:
-        """Record a call that ended before its answer did."""
+        """Record a call that ended before its answer was complete."""
         self._metrics.count_cut_call(cut.by)
         self._log.note(
             "call_cut",
@@ -58,7 +58,7 @@
         )
 
     def note_closed(self, closed: Closed) -> None:
-        """Record the end of a connection."""
+        """Record a closed connection."""
         self._metrics.count_closed(closed.by)
         if closed.by in UNLOGGED_CAUSES and not closed.has_call:
             return
@@ -74,7 +74,7 @@
         )
 
     def note_error(self, event: str, error: BaseException) -> None:
-        """Record an error at accepting or ending connections."""
+        """Record an error in accepting or closing connections."""
         self._log.note(event, error=repr(error))
 
     def _note_delay(self, delay: LoopDelay) -> None:
--- a/ashpond/gateway/ingress.py
+++ b/ashpond/gateway/ingress.py
@@ -1,7 +1,7 @@
-"""The HTTP side towards clients: requests become calls.
+"""The HTTP server for clients, readiness checks and metrics.
 
-Without quart, since any method, raw path and body is passed on and no route of
-this program's own exists.
+It does not use quart: every method, raw path and body is forwarded, and the program has
+no routes of its own.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def _strip_authority(target: bytes) -> bytes:
-    """Return the path of a request target that may name scheme and host as well."""
+    """Return path and query of a request target, without its scheme and host."""
     if target.startswith(b"/"):
         return target
     _, separator, rest = target.partition(b"://")
@@ -46,7 +46,7 @@
 
 
 class CutBy(StrEnum):
-    """Why a call ended before its answer did."""
+    """Why a call ended before its answer was complete."""
 
     CLIENT = "client"
     FAILURE = "failure"
@@ -54,12 +54,12 @@
 
 
 class CutCall(NamedTuple):
-    """A call that ended before its answer did.
+    """A call that ended before its answer was complete.
 
-    ``after`` is the time since its request was read, ``idle_before`` how long the
-    connection had been idle before that, None for a connection's first request;
-    ``idle_limit`` the limit in force (all in seconds). ``failure`` is an error of the
-    handler, None if there was none.
+    ``after`` is the time since its request was received. ``idle_before`` is how long
+    the connection had been idle before, None for its first request. ``idle_limit`` is
+    the current idle timeout (all in seconds). ``failure`` is the error that the handler
+    raised, None if it raised none.
     """
 
     request_id: str
@@ -71,7 +71,7 @@
 
 
 class Ingress:
-    """Serves clients, readiness checks and metrics."""
+    """Serves clients, readiness checks and the operators' pages."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
         self._render_status = render_status
         self._release_quarantined = release_quarantined
         self._note_cut = note_cut
-        # Of equal addresses the later ones go before the earlier.
+        # Where addresses are equal, the later entry replaces the earlier one.
         handlers = {
             ports.readiness: self._serve_readiness,
             ports.callers: self._serve_call,
@@ -117,11 +117,14 @@
         graceful_seconds: float,
         task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until ``shutdown`` returns, then let answers in flight end."""
+        """Serve until ``shutdown`` returns, then let open answers end.
+
+        :param graceful_seconds: how long open answers may take to end.
+        """
         await self._listener.run(shutdown, graceful_seconds, task_status)
 
     def apply_limits(self) -> None:
-        """Have connections that are idle go by the limits now in force."""
+        """Apply the current limits to idle connections."""
         self._listener.apply_limits()
 
     def _get_connection_limits(self) -> ConnectionLimits:
@@ -156,7 +159,8 @@
         self.open_calls += 1
         try:
             body = await self._read_body(exchange)
-            # Of what arrived while the event loop was held up, the client may be gone.
+            # If the event loop was delayed, the client may have left since it sent the
+            # request.
             if body is None or await exchange.notice_end():
                 return
             call = self._build_call(exchange, body, received_at)
@@ -169,7 +173,7 @@
             self.open_calls -= 1
 
     async def _read_body(self, exchange: Exchange) -> bytes | None:
-        """Return the whole body; None if there is none, or it was refused."""
+        """Return the whole body; None if the client left or the body was refused."""
         limit = self._get_limits().max_body_bytes
         pieces: list[bytes] = []
         size = 0
@@ -204,9 +208,9 @@
     async def _handle_while_connected(
         self, call: IncomingCall, exchange: Exchange
     ) -> None:
-        """Handle a call until its client leaves.
+        """Handle a call; cancel the handler if the client leaves.
 
-        :raises Exception: what the handler raised.
+        :raises Exception: any error of the handler.
         """
 
         async def cancel_when_client_leaves() -> None:
--- a/ashpond/gateway/metrics.py
+++ b/ashpond/gateway/metrics.py
@@ -8,7 +8,7 @@
 
 LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0]
 SUSPENSION_BUCKETS = [0.1, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0]
-# So many teams have a series of their own; the others share one.
+# Teams beyond this number share one series, which bounds the size of the page.
 MAX_TEAM_SERIES = 50
 OTHER_TEAMS = "(others)"
 DELAY_BUCKETS = [0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5]
@@ -80,31 +80,31 @@
         )
 
     def count_cut_call(self, cause: str) -> None:
-        """Count one call that ended before its answer did."""
+        """Count one call that ended before its answer was complete."""
         self.cut_calls.inc({"cause": str(cause)})
 
     def count_closed(self, cause: str) -> None:
-        """Count the end of one connection."""
+        """Count one closed connection."""
         self.closed_connections.inc({"cause": str(cause)})
 
     def count_invalid_row(self, table: str) -> None:
-        """Count one version of a row that cannot be read."""
+        """Count one version of a row that could not be decoded."""
         self.invalid_rows.inc({"table": table})
 
     def count_quarantined(self) -> None:
-        """Count one request that has been quarantined."""
+        """Count one quarantined request."""
         self.quarantined.inc({})
 
     def count_directive(self, kind: str) -> None:
-        """Count what a server has newly said of itself."""
+        """Count one new directive of a server: rate limit, leaving or backoff."""
         self.directives.inc({"kind": kind})
 
     def count_permit(self, outcome: str) -> None:
-        """Count one permit that was asked for."""
+        """Count one requested permit."""
         self.permits.inc({"outcome": outcome})
 
     def count_allowance(self, team: str, cost: int, is_granted: bool) -> None:
-        """Count what a team asked for."""
+        """Count the cost that a team requested, in the unit of its limit."""
         if len(self._teams_with_series) < MAX_TEAM_SERIES:
             self._teams_with_series.add(team)
         name = team if team in self._teams_with_series else OTHER_TEAMS
@@ -112,21 +112,21 @@
         self.allowances.add({"team": name, "outcome": outcome}, cost)
 
     def observe_suspension(self, seconds: float) -> None:
-        """Take one suspension of the machine."""
+        """Record the length of one suspension of the machine."""
         self.suspensions.observe({}, seconds)
 
     def observe_delay(self, seconds: float) -> None:
-        """Take one stall of the event loop."""
+        """Record one delay of the event loop."""
         self.loop_delays.observe({}, seconds)
 
     def count_refusal(self, kind: str) -> None:
-        """Count one refusal."""
+        """Count one refused call."""
         self.refusals.inc({"kind": kind})
 
     def observe_latency(self, kind: str, seconds: float) -> None:
-        """Take the time of one call."""
+        """Record the time to the end of one call's answer."""
         self.latency.observe({"kind": str(kind)}, seconds)
 
     def render(self) -> bytes:
-        """Return the page in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return render(self.registry, [])[0]
--- a/ashpond/gateway/ports.py
+++ b/ashpond/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What an adapter provides, so that the product runs on an outside platform."""
+"""The interface that an adapter to an external platform implements."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Platform(NamedTuple):
-    """Everything outside that an adapter provides.
+    """The external services and formats that an adapter provides.
 
-    The decoders answer an :class:`InvalidRow` for a row that is not whole, and None
-    for one that was removed or is of no use here; they raise nothing.
+    The decoders return an :class:`InvalidRow` for an invalid row, and None for a row
+    that was removed or is not used here; they raise no exceptions.
     """
 
     store: Store
--- a/ashpond/gateway/settings.py
+++ b/ashpond/gateway/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of an instance that serves routed calls."""
+"""The settings file of a gateway instance."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from ashpond.errors import InputProblem, SettingsError
 from ashpond.tables import MAX_SHOWN, load_toml
 
-# ``msgspec`` and not ``pydantic``, whose import takes a quarter of the start: after
-# the loss of all instances nothing is served until one has started.
+# ``msgspec`` is used, as importing ``pydantic`` takes a quarter of the start time, and
+# after the loss of all instances no call is served until one has started.
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Milliseconds = Annotated[float, Meta(ge=0, le=86_400_000)]
@@ -33,42 +33,44 @@
 
 
 class GatewayBounds(NamedTuple):
-    """Bounds that the operators state; what each one limits stands beside it."""
+    """Bounds set by the operators, in seconds (``_s``) or milliseconds (``_ms``)."""
 
-    # From a key's removal until no request with it may run.
+    # Time after the removal of a key within which requests with it stop running.
     revocation_ms: float = 5000
-    # From SIGTERM until the process is killed.
+    # Time between SIGTERM and SIGKILL.
     grace_s: float = 8.0
-    # Repeated sends to a service, as a share of its requests, and besides.
+    # In each retry window, a service may get this share of its requests as retries,
+    # and retry_slack retries more.
     retry_share: float = 0.2
     retry_slack: float = 50
     retry_window_s: float = 10.0
-    # From a weight target until no request may begin on older weights.
+    # Time after a weight target is set within which requests stop starting on older
+    # weights.
     weights_ms: float = 10_000
-    # Orders of two lease holders must be at least this far apart.
+    # Minimum time between orders of two successive lease holders.
     lease_ms: float = 3000
-    # From the end of a server until it no longer counts against the requests that were
-    # in flight there; who has ended three is sent no more for so long.
+    # How long a server crash counts against the requests that were in flight there.
+    # A request that has crashed three servers is refused for this time.
     quarantine_s: float = 600.0
-    # In each window of this length a team may use what its limit allows, this share of
-    # it more, and this much besides, in the limit's unit.
+    # In each window of this length a team may use what its limit allows, plus
+    # allowance_overage as a share of it, plus allowance_slack in the limit's unit.
     allowance_window_s: float = 8.0
     allowance_overage: float = 0.0
     allowance_slack: float = 0.0
 
     @property
     def allowances(self) -> AllowanceBounds:
-        """How exactly the teams' limits are to be kept."""
+        """The bounds on how far a team may exceed its limit."""
         return AllowanceBounds(
             self.allowance_window_s, self.allowance_overage, self.allowance_slack
         )
 
 
 class GatewaySettings(NamedTuple):
-    """Everything that one instance is told; addresses are ``IP:PORT``.
+    """The settings of one instance; addresses are ``IP:PORT``.
 
-    Up to ``mesh_limit`` instances each tells its news to all others, among more in
-    groups with hubs; all instances must have the same limit.
+    Up to ``mesh_limit`` instances each send their updates to all others. More instances
+    form groups with hubs. All instances must have the same limit.
     """
 
     name: str
@@ -84,7 +86,7 @@
 
 
 class BoundsTable(TypedDict, total=False):
-    """The bounds as the file may hold them."""
+    """The schema of the bounds in the settings file; every key is optional."""
 
     revocation_ms: Milliseconds
     grace_s: Seconds
@@ -100,7 +102,7 @@
 
 
 class SettingsTable(TypedDict, total=False):
-    """The settings as the file has to hold them."""
+    """The schema of the settings file."""
 
     name: Required[Name]
     failure_domain: Required[Name]
@@ -115,7 +117,7 @@
 
 
 class SettingsFile:
-    """The settings in force, and the file that they come from."""
+    """The current settings, and the file that they are read from."""
 
     def __init__(self, path: str, current: GatewaySettings | None = None):
         self.path = path
@@ -124,7 +126,7 @@
     def reload(self) -> bool:
         """Read the file again; return whether anything has changed.
 
-        :raises SettingsError: if it holds faults; the settings stay as they were.
+        :raises SettingsError: if the file is invalid; the settings stay as they were.
         """
         loaded = load_gateway_settings(self.path)
         has_changed = loaded != self.current
@@ -135,7 +137,7 @@
 def load_gateway_settings(path: str) -> GatewaySettings:
     """Read and check the settings file at ``path``.
 
-    :raises SettingsError: if it cannot be read or holds faults.
+    :raises SettingsError: if the file cannot be read or is invalid.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -147,7 +149,8 @@
 def parse_gateway_settings(name: str, text: str) -> GatewaySettings:
     """Return the checked settings.
 
-    :raises SettingsError: naming file, key, value and reason of the first fault.
+    :raises SettingsError: with file, key, value and reason of each unknown key, or of
+        the first invalid value.
     """
     table, problems = load_toml(name, text)
     problems = problems or _find_unknown_keys(name, table)
--- a/ashpond/gateway/signals.py
+++ b/ashpond/gateway/signals.py
@@ -1,4 +1,4 @@
-"""What the signals of the platform ask of an instance."""
+"""Signal handling: shutdown and reload."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def watch_signals(leave: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Leave at SIGTERM, read the settings again at SIGHUP, until cancelled."""
+    """Call ``leave`` on SIGTERM and ``reload`` on SIGHUP, until cancelled."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as signals:
         async for number in signals:
             if number == signal.SIGTERM:
--- a/ashpond/gateway/status.py
+++ b/ashpond/gateway/status.py
@@ -1,4 +1,4 @@
-"""What one instance believes, as JSON for operators."""
+"""The status page of an instance, as JSON for operators."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def render_status(gateway: Gateway) -> bytes:
-    """Return configuration, members, lease, servers and budgets of an instance."""
+    """Return configuration, members, lease, servers and retry budgets as JSON."""
     now = trio.current_time()
     declaration = gateway.knowledge.declaration
     age = gateway.knowledge.measure_age(now)
--- a/ashpond/gateway/store.py
+++ b/ashpond/gateway/store.py
@@ -1,4 +1,4 @@
-"""What the product asks of a table store outside; an adapter provides it."""
+"""The interface of the external table store; an adapter implements it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Row(NamedTuple):
-    """One row; ``value`` is None for one that was removed."""
+    """A row; ``value`` is None for a removed row."""
 
     table: str
     key: str
@@ -29,7 +29,7 @@
 
 
 class InvalidRow(NamedTuple):
-    """A row whose value is not what its table holds, and why."""
+    """A row whose value is invalid in its table, with the reason."""
 
     table: str
     key: str
@@ -38,7 +38,7 @@
 
 
 class Condition(NamedTuple):
-    """A row must stand at ``version``; 0 for a row that does not exist."""
+    """A precondition of a write: the row is at ``version``, 0 if it must not exist."""
 
     table: str
     key: str
@@ -46,10 +46,10 @@
 
 
 class Snapshot(NamedTuple):
-    """Rows as of one moment, ``version`` being the newest of the whole store.
+    """Rows as of one moment; ``version`` is the newest version of the whole store.
 
-    ``store_time`` is the store's steady clock at that moment, ``sent_at`` and
-    ``received_at`` this process's; all in seconds.
+    ``store_time`` is the store's monotonic clock at that moment. ``sent_at`` and
+    ``received_at`` are the times of the call on this process's clock, in seconds.
     """
 
     rows: tuple[Row, ...]
@@ -60,15 +60,15 @@
 
 
 class HistoryLost(NamedTuple):
-    """The store no longer has the changes that were asked for."""
+    """The store no longer has the requested changes."""
 
 
 class StoreEra:
-    """Which of its lives the store's data are in.
+    """The era of the store's data.
 
-    A store that comes back from an older copy begins another era: versions are given
-    out again, so that they compare within an era only, and what was acknowledged may be
-    gone. Everybody who keeps a version or a row listens for the change.
+    A store that is restored from an older copy begins another era. It assigns versions
+    again, so that versions can be compared within an era only, and acknowledged writes
+    may be lost. Every component that keeps a version or a row registers a listener.
     """
 
     def __init__(self) -> None:
@@ -78,15 +78,16 @@
         self._listeners: list[Callable[[], None]] = []
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` with each change, once ``current`` is the new era."""
+        """Register ``listener``; it is called after ``current`` is set to a new era."""
         self._listeners.append(listener)
 
     def apply(self, era: int | None, sent_at: float, now: float) -> bool:
-        """Take the era of an answer; return whether the answer is of the present one.
+        """Apply the era of an answer; return whether the answer is of the current era.
 
-        An answer that names none is believed to be: stores that tell no era keep what
-        they acknowledge. A lower one is of the time before if its call was sent before
-        the change was seen; else the store has gone back, which is a change as well.
+        An answer without an era counts as current: stores that report no era keep all
+        acknowledged writes. An answer with a lower era is outdated if its call was sent
+        before the last change was seen. Otherwise the store has gone back to an older
+        era, which is a change as well.
 
         :param sent_at: when the call was sent, on this process's clock.
         """
@@ -105,17 +106,17 @@
         return True
 
     def is_older(self, era: int | None) -> bool:
-        """Return whether another instance's word is of an era before the present."""
+        """Return whether an era sent by another instance is before the current one."""
         return era is not None and self.current is not None and era < self.current
 
 
 class Store(NamedTuple):
-    """The operations of a table store, and the era that its answers tell of.
+    """The operations of a table store, and the era of its data.
 
-    ``read(table)`` answers ``Done(Snapshot)``; ``follow(table, after, wait)``
-    the same as soon as there is a change, at the latest after ``wait`` seconds;
-    ``write(conditions, puts)`` answers ``Done(version)`` or ``Conflict``. A put
-    without a value removes its row.
+    ``read(table)`` returns ``Done(Snapshot)``. ``follow(table, after, wait)`` is a
+    long poll: it returns the changes after version ``after`` as soon as there are any,
+    at the latest after ``wait`` seconds. ``write(conditions, puts)`` returns
+    ``Done(version)`` or ``Conflict``. A put without a value removes its row.
     """
 
     read: Callable[[str], Awaitable[Done | Unavailable | Unknown]]
@@ -130,13 +131,13 @@
 
 
 class StoreClock:
-    """Tells when, on this process's clock, an answer was made at the store.
+    """Converts the store's times to this process's clock.
 
-    An answer made at store time ``s`` to a call sent at ``t`` was made at ``t`` or
-    later. So was, ``d`` later, one made at ``s + d``: the greatest such bound over
-    all calls dates each answer, also one that was waited for or held up, without
-    ever taking it for newer than it is. ``asked_at`` is when any table was last asked
-    for, on this process's clock.
+    An answer with store time ``s`` to a call sent at ``t`` was made at ``t`` or later,
+    so ``t - s`` is a lower bound of the offset between the clocks. The greatest such
+    bound over all calls is used for every answer. Answers of long polls and delayed
+    answers are therefore dated as well as others, and never later than they were made.
+    ``called_at`` is the time of the last call for any table, on this process's clock.
     """
 
     def __init__(self) -> None:
@@ -144,19 +145,25 @@
         self._offset: float | None = None
 
     def date(self, snapshot: Snapshot) -> float:
-        """Return the latest time by which the answer was surely not yet made."""
+        """Return the latest time, on this process's clock, known to precede the answer.
+
+        Also improves the offset between the clocks.
+        """
         offset = snapshot.sent_at - snapshot.store_time
         latest = snapshot.received_at - snapshot.store_time
         if self._offset is None or self._offset > latest:
-            # The first answer, or the store's clock has started anew.
+            # This is the first answer, or the store's clock has restarted.
             self._offset = offset
         self._offset = max(self._offset, offset)
         return snapshot.store_time + self._offset
 
     def date_forwarded(self, store_time: float) -> float | None:
-        """Return the same for an answer to another instance, if it can be told."""
+        """Return the same for an answer that another instance received and forwarded.
+
+        None is returned until this instance has received an answer itself.
+        """
         return None if self._offset is None else store_time + self._offset
 
     def estimate_store_time(self, now: float) -> float:
-        """Return the latest that the store's clock can show at ``now``."""
+        """Return an upper bound of the store's clock at ``now``."""
         return 0.0 if self._offset is None else now - self._offset
