--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -1,4 +1,4 @@
-"""Build fleets of instances that ask each other for allowances, in virtual time."""
+"""Fleets of instances that ask each other for allowances, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 BOUNDS = AllowanceBounds(8.0, 0.1, 110_000.0)
 LIMIT = Allowance(125_000.0, 125_000.0, AllowanceUnit.TOKENS, 200)
 MAX_FRAME_BYTES = 1 << 20
-# A server that all instances know.
+# The id of a server that all instances know.
 LIMITED_SERVER = "s1"
 LATENCY_SECONDS = 0.002
 FAILURE_DOMAINS = 4
-# Requests and their shares: long prompts, short ones, and a few of the longest.
+# Costs of requests and their shares: long, short and a few very long prompts.
 REQUEST_SIZES = ((9_200, 0.36), (860, 0.63), (50_000, 0.01))
 MEAN_SIZE = sum(size * share for size, share in REQUEST_SIZES)
 
 
 class RequestResult(NamedTuple):
-    """One request of a client, and what became of it."""
+    """The outcome of one request of a client."""
 
     at: float
     cost: int
@@ -44,7 +44,7 @@
 
 
 class Wire:
-    """One direction of a connection, which holds what is sent while it is cut."""
+    """One direction of a connection; holds data back during a partition."""
 
     def __init__(self, fleet: Fleet, ends: tuple[str, str]):
         self._fleet = fleet
@@ -93,7 +93,7 @@
 
 
 class FleetMembers:
-    """The instances there are, as one of them knows."""
+    """The members of the fleet, as one instance knows them."""
 
     def __init__(self, own: Member, by_name: dict[str, Member]):
         self.own = own
@@ -105,7 +105,7 @@
 
 
 class FleetInstance:
-    """One life of an instance: the real controllers, before scripted connections."""
+    """One incarnation of an instance: real controllers on scripted connections."""
 
     def __init__(self, fleet: Fleet, member: Member):
         self.name = member.name
@@ -126,7 +126,7 @@
         )
 
     def find_declaration(self, fleet: Fleet) -> Declaration | None:
-        """Return the configuration, once this life has read it."""
+        """Return the configuration once this incarnation has read it."""
         is_configured = trio.current_time() >= self.configured_at
         return fleet.find_declaration(self.name) if is_configured else None
 
@@ -136,7 +136,7 @@
 
 
 class Fleet:
-    """Instances in failure domains, which may be cut off, end and begin anew."""
+    """Instances in failure domains, which can be partitioned and restarted."""
 
     def __init__(self, nursery: trio.Nursery, count: int, seed: int = 1):
         self.nursery = nursery
@@ -145,7 +145,7 @@
         self.instances: dict[str, FleetInstance] = {}
         self.partitioned: set[str] = set()
         self.limit = LIMIT
-        # From the start of a life until it knows the configuration.
+        # How long a started instance takes to read the configuration (seconds).
         self.configuration_seconds = 0.0
         self.version = 1
         self.stale_limits: dict[str, Allowance] = {}
@@ -158,7 +158,7 @@
     def add_instance(self) -> None:
         number = len(self.members)
         name = f"i{number}"
-        # A few machines have wide links.
+        # One in eleven machines has a wide link.
         width = 200.0 if number % 11 < 1 else 10.0
         self.members[name] = Member(
             name, "127.0.0.1:1", f"d{number % FAILURE_DOMAINS}", width
@@ -166,12 +166,12 @@
         self.start(name)
 
     def start(self, name: str) -> None:
-        """Begin a life of an instance that knows nothing of what was before."""
+        """Start a new incarnation of an instance, without any earlier state."""
         instance = self.instances[name] = FleetInstance(self, self.members[name])
         self.nursery.start_soon(instance.run)
 
     async def restart(self, names: list[str], seconds: float) -> None:
-        """End instances and start them anew."""
+        """Stop instances and start them again after ``seconds``."""
         for name in names:
             self.instances.pop(name).scope.cancel()
         await trio.sleep(seconds)
@@ -179,7 +179,7 @@
             self.start(name)
 
     async def partition(self, names: list[str], seconds: float) -> None:
-        """Cut instances off from all others, and from each other."""
+        """Disconnect instances from all others and from each other for ``seconds``."""
         self.partitioned |= set(names)
         await trio.sleep(seconds)
         self.partitioned -= set(names)
@@ -236,7 +236,7 @@
                 await trio.sleep(0.05)
             raise trio.BrokenResourceError
 
-        # The other side learns of an end by its kernel's word.
+        # When a process ends, its kernel closes the connection.
         near_end = client_end._source
         await await_end(
             lambda: request_wire.deliver(near_end),  # type: ignore[arg-type]
@@ -248,7 +248,7 @@
         await server_end.aclose()
 
     async def send_request(self, name: str, cost: int, timeout: float = 4.0) -> None:
-        """Have an instance ask for one request, and keep what became of it."""
+        """Let an instance ask for the cost of one request, and record the result."""
         at = trio.current_time()
         instance = self.instances[name]
         team = Team("desk", allowance=self.stale_limits.get(name, self.limit))
@@ -261,7 +261,7 @@
         assert not isinstance(taken, Refusal) or taken.status in (429, 503)
 
     async def send_requests(self, share: float, seconds: float, only: str = "") -> None:
-        """Send a share of the limit, at instances drawn at random or at one."""
+        """Send a share of the limit to instances drawn at random, or only to one."""
         until = trio.current_time() + seconds
         interval = MEAN_SIZE / (LIMIT.rate * share)
         while trio.current_time() < until:
@@ -273,7 +273,7 @@
                 self.nursery.start_soon(self.send_request, name, cost)
 
     def measure_fullest_window(self, since: float = -math.inf) -> float:
-        """Return the fullest window, as a share of the bound."""
+        """Return the use of the fullest window as a share of its bound."""
         limit = self.limit.rate * BOUNDS.window + self.limit.burst
         bound = limit * (1 + BOUNDS.overage) + BOUNDS.slack
         window: deque[RequestResult] = deque()
@@ -288,7 +288,7 @@
         return fullest / bound
 
     def measure_refused_share(self, since: float = -math.inf) -> float:
-        """Return the share of tokens that were refused."""
+        """Return the share of requested tokens that were refused."""
         asked = sum(r.cost for r in self.results if r.at >= since)
         refused = sum(r.cost for r in self.results if r.status != 200 and r.at >= since)
         return refused / asked
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -1,4 +1,4 @@
-"""Build fleets before a server that names a rate limit, in virtual time."""
+"""Fleets in front of one server with a rate limit, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,13 +23,16 @@
     REACTION_SECONDS,
 )
 
-# How long answers take; one in ten takes the second time.
+# How long answers take; one in ten takes the second time (seconds).
 ANSWER_SECONDS = (0.05, 2.5)
 NOTICE_DELAY_SECONDS = (0.002, 0.6)
 
 
 class Arrival(NamedTuple):
-    """A request that reached the server; ``told_at`` is when its instance was told."""
+    """A request that reached the server.
+
+    ``informed_at`` is when its instance first received the present limit.
+    """
 
     at: float
     instance: str
@@ -37,7 +40,7 @@
 
 
 class LimitedInstance:
-    """What one life of an instance knows of the server, and how it is told."""
+    """The state of the server at one incarnation of an instance."""
 
     def __init__(self, fleet: LimitFleet, instance: FleetInstance):
         self.informed_at = float("inf")
@@ -63,7 +66,7 @@
 
 
 class LimitFleet(Fleet):
-    """Instances that send to one server, whose answers name ``rate``."""
+    """Instances that send to one server, whose answers name ``rate`` as its limit."""
 
     def __init__(self, nursery: trio.Nursery, count: int, seed: int = 1):
         self.rate: float | None = None
@@ -72,7 +75,7 @@
         self.waits: list[float] = []
         self.incarnations: dict[str, LimitedInstance] = {}
         super().__init__(nursery, count, seed)
-        # No team has a limit: the keepers are needed for the server alone.
+        # No team has a limit: coordinators are needed for the server alone.
         self.limit = None  # type: ignore[assignment]
 
     def start(self, name: str) -> None:
@@ -80,7 +83,7 @@
         self.incarnations[name] = LimitedInstance(self, self.instances[name])
 
     def set_server_limit(self, rate: float | None) -> None:
-        """Let the server's answers name a limit from now on, or none."""
+        """Let the server's answers name this limit from now on, None for no limit."""
         if rate is not None:
             self.limit_set_at = trio.current_time()
             for incarnation in self.incarnations.values():
@@ -104,7 +107,7 @@
             incarnation.apply_notice(notice)
 
     async def send_to_server(self, name: str) -> None:
-        """Have an instance send a request to the server, if it may."""
+        """Let an instance send a request to the server if it gets a permit."""
         incarnation = self.incarnations[name]
         state = incarnation.state
         now = trio.current_time()
@@ -145,7 +148,7 @@
     async def send_requests_to_server(
         self, per_second: float, seconds: float, only: str = ""
     ) -> None:
-        """Send requests at instances drawn at random, or at one."""
+        """Send requests to instances drawn at random, or only to one."""
         until = trio.current_time() + seconds
         while trio.current_time() < until:
             await trio.sleep(self.rng.expovariate(per_second))
@@ -156,9 +159,9 @@
     def measure_fullest_server_window(
         self, rate: float, until: float = float("inf")
     ) -> float:
-        """Return the fullest window of requests that count, as a share of the bound.
+        """Return the requests in the fullest window as a share of its bound.
 
-        Those do that are of instances that were told of the present limit.
+        Only requests of instances that already know the present limit count.
         """
         bound = LIMIT_SHARE * rate * LIMIT_WINDOW_SECONDS + LIMIT_SLACK
         window: deque[float] = deque()
--- a/tests/test_allowance_fleet.py
+++ b/tests/test_allowance_fleet.py
@@ -1,7 +1,7 @@
-"""Fleets under a team's load: no window over its bound, few refusals below the limit.
+"""Tests of a team's limit in a fleet: no window exceeds its bound, few are refused.
 
-The real controllers of up to 195 instances, in virtual time, with connections that are
-cut, instances that end and begin anew, and limits that change.
+The real controllers of up to 195 instances run in virtual time, with network
+partitions, instances that restart and limits that change.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 SETTLED_SECONDS = 6.0
 BELOW_LIMIT = 0.55
 ABOVE_LIMIT = 4.2
-# What calm instances may refuse below the limit: one token in a thousand.
+# Below the limit, at most one token in a thousand may be refused.
 MAX_REFUSED_SHARE = 0.001
 
 
@@ -74,7 +74,7 @@
 async def test_the_limit_holds_while_half_of_the_instances_restart(
     load: float, seed: int, autojump_clock: object
 ) -> None:
-    """Of 90 instances 55 in 100 end at once, the keeper among them, and return."""
+    """Of 90 instances, about 55 in 100 restart at once, the coordinator among them."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 90, seed)
         await trio.sleep(SETTLED_SECONDS)
@@ -94,7 +94,7 @@
 async def test_requests_are_granted_right_after_all_instances_restart(
     autojump_clock: object,
 ) -> None:
-    """What they earned while they read the configuration is theirs to use."""
+    """Time accrued while they read the configuration must count afterwards."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 30)
         fleet.configuration_seconds = 0.8
@@ -184,7 +184,7 @@
 async def test_a_lowered_limit_holds_while_some_instances_do_not_know_it(
     coordinator_knows: bool, autojump_clock: object
 ) -> None:
-    """A quarter of the instances does not hear of it, the keeper among them or not."""
+    """A quarter of the instances has the old limit, with the coordinator or without."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 90)
         await trio.sleep(SETTLED_SECONDS)
@@ -206,7 +206,7 @@
 async def test_unused_allowance_is_not_returned_on_a_new_connection(
     autojump_clock: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Told later, it would be used in a window that has no room left for it."""
+    """A late refund would be used again in a window that has no room left for it."""
     returned: list[ReturnedAllowance] = []
 
     def record(*args: Any, **options: Any) -> AllowanceAsk:
@@ -238,7 +238,7 @@
 async def test_a_request_with_rate_0_does_not_crash_its_coordinator(
     unit: AllowanceUnit, autojump_clock: object
 ) -> None:
-    """It divided by the rate, and what a peer's task raises ends the process."""
+    """A division by the rate raised an error, which ended the coordinator's process."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 1)
         await trio.sleep(SETTLED_SECONDS)
--- a/tests/test_allowance_processes.py
+++ b/tests/test_allowance_processes.py
@@ -1,4 +1,4 @@
-"""A team that sends several times its limit at all instances, as processes."""
+"""A team that sends several times its limit, to all instances as processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 RATE = 20
 WINDOW_SECONDS = 8.0
-# In any window: the rate and a burst of a second, nothing besides.
+# The most requests in any window: the rate, and a burst of one second of it.
 BOUND = RATE * WINDOW_SECONDS + RATE
 LOAD_SECONDS = 12.0
 INTERVAL_SECONDS = 0.012
@@ -30,7 +30,7 @@
 async def test_a_team_stays_within_its_limit_at_all_instances(
     killed: int | None, tmp_path: Path
 ) -> None:
-    """Also while one of them, which may be the keeper, ends and begins anew."""
+    """The limit also holds while an instance, possibly the coordinator, restarts."""
     limit: dict[str, object] = {"rate_per_s": RATE, "burst": RATE}
     world = World(tmp_path, INSTANCES, 3, lambda body: False, limit=limit)
 
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -1,7 +1,7 @@
-"""Fleets before a server that names a rate limit, of 1 to 390 instances.
+"""Tests of a backend server's rate limit in fleets of 1 to 60 instances.
 
-The real controllers in virtual time: no window over the bound, the limit nearly used,
-and no request held up.
+The real controllers run in virtual time. No window may exceed its bound, the limit must
+nearly be used, and no request may be delayed for long.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 
 SETTLED_SECONDS = 4.0
 PER_SECOND = 200.0
-# From the first word until keepers have the fleet's time (seconds).
+# From the first answer with a limit until coordinators have received the accrued time
+# of all instances (seconds).
 RAMP_UP_SECONDS = 4.0
-# What a limited server should get of what it takes, at the least.
+# A limited server must get at least this share of its limit.
 MIN_USED_SHARE = 0.8
 
 
 async def load_and_set_limit(fleet: LimitFleet, rate: float, seconds: float) -> float:
-    """Press, and let the server name a limit after a while; return when it did."""
+    """Send requests and set the server's limit after 2 s; return when it was set."""
     await trio.sleep(SETTLED_SECONDS)
     fleet.nursery.start_soon(fleet.send_requests_to_server, PER_SECOND, seconds)
     await trio.sleep(2.0)
@@ -113,7 +114,7 @@
 async def test_all_instances_notice_that_a_limit_was_lifted(
     rate: float, seed: int, autojump_clock: object
 ) -> None:
-    """Also of a server that took nothing, and where answers and news cross."""
+    """This includes a limit of 0, and notices that overtake answers or follow them."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 20, seed)
         await load_and_set_limit(fleet, rate, 120.0)
@@ -143,7 +144,7 @@
 async def test_a_server_with_limit_0_is_probed(
     autojump_clock: object,
 ) -> None:
-    """Only an answer tells that its limit has ended."""
+    """Only an answer of the server shows that its limit was lifted."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 6)
         limit_set_at = await load_and_set_limit(fleet, 0.0, 65.0)
@@ -156,7 +157,7 @@
 async def test_idle_instances_keep_accruing_time_for_a_limited_server(
     autojump_clock: object,
 ) -> None:
-    """Their time is a part of what the server takes, whoever uses it."""
+    """Their accrued time is part of the server's limit, which other instances use."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 6)
         limit_set_at = await load_and_set_limit(fleet, 3.0, 8.0)
@@ -184,7 +185,7 @@
 
 
 async def test_a_raised_limit_is_used_at_once(autojump_clock: object) -> None:
-    """Instances that pause after refusals would notice it seconds later."""
+    """Instances that stay in a pause after refusals would use it seconds later."""
     async with trio.open_nursery() as nursery:
         fleet = LimitFleet(nursery, 40)
         await load_and_set_limit(fleet, 0.4, 40.0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Strangers and broken frames are refused; the listener goes on."""
+"""Peers without the secret and invalid frames are refused; the listener stays up."""
 
 from __future__ import annotations
 
@@ -131,10 +131,9 @@
 
 
 async def test_facts_are_resent_after_a_lost_connection() -> None:
-    """A peer gives up a connection while the answer to it is on its way.
+    """A peer closes the connection before the answer with the facts arrives.
 
-    Evidence: looked for after requests were lost because one side closed what the
-    other had taken up; the answer's facts counted as told and never came again.
+    The facts of that answer counted as sent and were never sent again.
     """
     instance = AnsweringInstance()
     async with trio.open_nursery() as nursery:
@@ -152,10 +151,9 @@
 
 
 async def test_facts_are_resent_after_a_dropped_link() -> None:
-    """A link that is wanted no more is cut while its facts are on their way.
+    """A link is dropped before its facts have arrived, and later opened again.
 
-    Evidence: looked for with the test above; facts in flight counted as told when
-    the same peer was linked to again.
+    The facts counted as sent and were not sent on the new link.
     """
     members = AnsweringInstance().members
     link_scope = trio.CancelScope()
