--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -1,7 +1,8 @@
-"""Calls of the callers' API that end the servers which run them.
+"""Quarantine of calls of the callers' API that crash the servers which run them.
 
-Instances tell each other what they have seen in their facts. Those have no clock in
-common, so that times travel as ages, and count as apart only beyond a gossip period.
+Instances report the crashes that they have seen in their gossip facts. They share no
+clock, so that times are sent as ages, and two times count as different only if they
+are further apart than the longest propagation of a fact.
 """
 
 from __future__ import annotations
@@ -38,11 +39,11 @@
 logger = Logger("ashpond.callends")
 
 CRASHES_KEY = "server_ends"
-# As for routed calls: an end counts for ten minutes (seconds).
+# A crash counts for ten minutes, as for routed calls (seconds).
 RETENTION_SECONDS = 600.0
-# Two gossip periods may pass until a fact has reached all (periods).
+# The longest propagation of a fact to all instances (gossip periods).
 MAX_GOSSIP_PERIODS = 2
-# Ends in a fact, some 70 bytes each, which is sent in each gossip period.
+# Crashes in a fact, which is sent in each gossip period; some 70 bytes each.
 MAX_SENT_CRASHES = 32
 
 
@@ -55,7 +56,7 @@
 
 
 class CallQuarantine:
-    """Knows which calls are suspected of ending servers, by all instances' word."""
+    """The states of calls, by the crashes that all instances have reported."""
 
     def __init__(
         self,
@@ -83,30 +84,30 @@
         members.on_fact(self._merge_fact)
 
     async def run(self) -> None:
-        """Look whether servers have ended, until cancelled."""
+        """Run the crash detection until cancelled."""
         await self._detector.run()
 
     def compute_fingerprint(self, call: Call) -> str:
-        """Return the name of what a call asks."""
+        """Return the fingerprint of a call's team, kind, method, target and body."""
         target = f"{call.service_name} {call.path}?{call.query}".encode()
         return make_fingerprint(
             self._secret, call.team_name, call.kind, call.method, target, call.body
         )
 
     def classify(self, fingerprint: str) -> QuarantineState:
-        """Return what is believed of a call now."""
+        """Return the state of a call now."""
         return self._crash_records.classify(fingerprint, trio.current_time())
 
     def is_in_progress(self, fingerprint: str) -> bool:
-        """Return whether a call of that name is being handled here."""
+        """Return whether a call with that fingerprint is being handled here."""
         return self._in_progress[fingerprint] > 0
 
     def note_started(self, fingerprint: str) -> None:
-        """Count a call that is being handled."""
+        """Count a call as being handled."""
         self._in_progress[fingerprint] += 1
 
     def note_finished(self, fingerprint: str, *, is_answered: bool) -> None:
-        """Note the end of a call; one that was answered whole ends no server."""
+        """Record the end of a call; a complete answer clears its fingerprint."""
         self._in_progress[fingerprint] -= 1
         if not self._in_progress[fingerprint]:
             del self._in_progress[fingerprint]
@@ -116,14 +117,14 @@
                 logger.notice("call_cleared", extra={"fingerprint": fingerprint})
 
     def find_server(self, name: str) -> WatchedServer | None:
-        """Return the start of a server that a call is about to be sent to."""
+        """Return the current start of a server, None if the server is unknown."""
         state = self._engines.servers.get(name)
         return None if state is None else state.watched
 
     def note_failed_attempt(
         self, call: Call, server: WatchedServer | None, sent_at: float
     ) -> None:
-        """Note that an attempt brought no whole answer, and may have run."""
+        """Record an attempt that may have run and got no complete answer."""
         if server is not None:
             self._detector.note_failed_attempt(
                 server, self.compute_fingerprint(call), sent_at
@@ -151,7 +152,7 @@
         logger.notice("call_judged", extra=fields)
 
     def _export_crashes(self) -> list[list[Any]]:
-        """Return what the other instances are told, the gravest first."""
+        """Return the crashes to send to other instances, the gravest cases first."""
         now = trio.current_time()
         self._crash_records.expire(now)
         return [
@@ -166,7 +167,7 @@
         ]
 
     def _merge_fact(self, fact: Fact) -> None:
-        """Take in what another instance tells; what makes no sense is passed over."""
+        """Merge the crashes in another instance's fact; log an invalid one."""
         now = trio.current_time()
         try:
             reports = msgspec.convert(
--- a/ashpond/controllers/quarantine.py
+++ b/ashpond/controllers/quarantine.py
@@ -1,4 +1,4 @@
-"""Keep requests that end servers away from them, as all instances together see it."""
+"""Quarantine of requests that crash servers, shared by all instances."""
 
 from __future__ import annotations
 
@@ -27,34 +27,35 @@
     from ashpond.gateway.metrics import GatewayMetrics
     from ashpond.gateway.store import Store, StoreClock
 
-# Who told of an end: nobody else, or the store.
+# The reporter of a crash that this instance has seen itself, or read from the store.
 OWN = "own"
 STORE = "store"
-# Of these, the store keeps what is known.
+# The states in which the crashes of a request are kept in the store.
 PERSISTED_STATES = (QuarantineState.HELD, QuarantineState.QUARANTINED)
-# A request in flight when a server ends is mostly answered by the next. An end that
-# only one instance has seen, of a request that got no answer, is told; so many a
-# second, 1.2 KB (ends). At a second end all are told at once.
+# Most requests that lose their server are answered by the next one. A single crash of a
+# request is therefore reported only if its call ends without an answer, and at most 20
+# are a second (1.2 KB). After a second successive crash, both are sent at once.
 MAX_SINGLE_REPORTS = 20
 SINGLE_REPORTS_SECONDS = 1.0
 
 
 class AttemptDecision(Enum):
-    """Whether, and how, a request may be sent."""
+    """Whether an attempt of a request may be sent, and under which condition."""
 
     FREE = auto()
-    # Suspected: alone of its kind here, once, where it does least harm.
+    # The only attempt of a suspected request at this instance, sent once, to the
+    # server where a crash does the least harm.
     ALONE = auto()
-    # Another attempt of a suspected request is on its way.
+    # Another attempt of a suspected request is in flight, or the request is held.
     BUSY = auto()
     QUARANTINED = auto()
 
 
 class Quarantine:
-    """What is known of requests that end servers, and what follows from it here.
+    """The known crashes by request, and the attempts that they allow.
 
-    :param tell: tells the other instances of ends.
-    :param is_reader: whether this instance asks the store for others as well.
+    :param send_crashes: sends crashes to the other instances.
+    :param is_reader: returns whether this instance reads the store for others as well.
     :param list_instances: returns the names of all instances.
     """
 
@@ -92,13 +93,13 @@
         store.era.on_change(self._persist_again)
 
     async def run(self) -> None:
-        """Read what the store keeps, and write to it, until cancelled."""
+        """Read the stored crashes once, and write new ones, until cancelled."""
         await self._rows.run(
             lambda: self.crash_records.keep_seconds, self._merge_persisted
         )
 
     def classify(self, fingerprint: str | None) -> QuarantineState:
-        """Return what is believed of a request now."""
+        """Return the state of a request now."""
         return self.crash_records.classify(fingerprint, self._now())
 
     def _now(self) -> float:
@@ -107,7 +108,7 @@
 
     @asynccontextmanager
     async def track_call(self, fingerprint: str | None) -> AsyncIterator[None]:
-        """Count a call while it lasts; what it lost, and got no answer to, is told."""
+        """Count a call while it lasts; report its crash if it gets no answer."""
         if fingerprint is None:
             yield
             return
@@ -124,11 +125,11 @@
     async def admit_attempt(
         self, fingerprint: str | None, until: float
     ) -> AsyncIterator[AttemptDecision]:
-        """Wait, until ``until`` at the latest, for the turn of a request.
+        """Wait, until ``until`` at the latest, until a request may be sent.
 
-        Of a suspected one a single attempt is on its way at a time: if it ends its
-        server the others need not, and if it is answered all are free. One that is
-        held, until its case has settled, gets no turn.
+        A suspected request has a single attempt in flight at a time: if that crashes
+        its server, no further server is lost, and if it is answered, all attempts are
+        free. A request that is held isn't sent until its state has settled.
         """
         if fingerprint is None:
             yield AttemptDecision.FREE
@@ -165,22 +166,23 @@
                 await state_change.wait()
 
     def _is_home(self, fingerprint: str) -> bool:
-        """Return whether this instance is the one to try a contested request.
+        """Return whether this instance is the rendezvous-hash home of a request.
 
-        At 20 sends a second to six instances each of them tried it, and with it another
-        that was lost at the same ends, and ten more servers ended.
+        Only the home tries a contested request. When all six instances of a fleet tried
+        it, at 20 attempts a second, they tried a rival that was lost in the same
+        crashes as well, and ten more servers crashed.
         """
         names = {self._name, *self._list_instances()}
         return rank_by_rendezvous(int(fingerprint, 16), sorted(names))[0] == self._name
 
     def _wake(self, fingerprint: str) -> None:
-        """Have those that wait for a turn look again."""
+        """Wake the attempts of a request that wait for admission."""
         state_change = self._state_changes.pop(fingerprint, None)
         if state_change is not None:
             state_change.set()
 
     def note_lost(self, lost: LostRequest) -> None:
-        """Take a request that was in flight here when its server ended."""
+        """Record a request of this instance that was in flight at a crash."""
         server = lost.server
         sent_at = self._clock.estimate_store_time(lost.sent_at)
         ended_at = self._clock.estimate_store_time(lost.failed_at)
@@ -202,13 +204,16 @@
     def merge_reported(
         self, crashes: Sequence[ServerCrash], sender: str
     ) -> list[ServerCrash]:
-        """Take what another instance tells; return what of it is new here."""
+        """Merge the crashes that another instance reports; return the new ones."""
         now = self._now()
         self._shared.update(crash.fingerprint for crash in crashes)
         return [crash for crash in crashes if self._merge(crash, now, sender)]
 
     def _merge(self, crash: ServerCrash, now: float, reporter: str) -> bool:
-        """Take an end; return whether it is new. What is answered here is cleared."""
+        """Merge a crash; return whether it is new.
+
+        If a server has answered the request here lately, the crash is cleared.
+        """
         name = crash.fingerprint
         if not self.crash_records.note(crash, now):
             return False
@@ -223,7 +228,7 @@
         return True
 
     def note_answered(self, fingerprint: str | None) -> None:
-        """Note that a server has answered a request whole: it is not the cause."""
+        """Record a complete answer to a request, which is therefore not the cause."""
         if fingerprint is None:
             return
         now = self._now()
@@ -236,9 +241,9 @@
         )
 
     def clear(self, fingerprint: str) -> bool:
-        """Let a request be sent again, at all instances, as an operator asks for.
+        """Clear a request at all instances, on an operator's order.
 
-        :return: whether anything counted against it.
+        :return: whether any crash counted against it.
         """
         cleared = self.crash_records.clear(fingerprint, self._now())
         self._shared.add(fingerprint)
@@ -256,7 +261,7 @@
             self._rows.remove(name)
 
     def _note_cleared(self, cleared: list[ServerCrash], reason: str) -> None:
-        """Log that a request is not the cause; tell it to those that suspect it."""
+        """Log that a request is not the cause, and report it if its crashes were."""
         if not cleared:
             return
         name = cleared[0].fingerprint
@@ -286,11 +291,11 @@
             return
         self._refused[fingerprint] += 1
         if self._states.get(fingerprint) is not QuarantineState.QUARANTINED:
-            # Settled since the last news of it.
+            # The state has settled since the last report.
             self._note_state(fingerprint, QuarantineState.QUARANTINED, self._now())
 
     def _send_unsent(self, fingerprint: str) -> None:
-        """Tell of a request that lost its server and got no answer, within limits."""
+        """Send the crash of an unanswered request, within the limit of such reports."""
         now = trio.current_time()
         if fingerprint not in self._unsent:
             return
@@ -307,11 +312,11 @@
         self._send_crashes(self.crash_records.list_crashes(fingerprint, now))
 
     def list_for_new_peer(self) -> list[ServerCrash]:
-        """Return what an instance is told that has just connected."""
+        """Return the crashes to send to an instance that has just connected."""
         return self.crash_records.list_most_suspect(self._now())
 
     def expire(self) -> None:
-        """Forget what no longer counts."""
+        """Remove expired crashes and all that is kept for their requests."""
         self.crash_records.expire(self._now())
         for fingerprints in (self._unsent, self._shared):
             fingerprints.intersection_update(self.crash_records.list_fingerprints())
@@ -320,7 +325,7 @@
                 del by_fingerprint[name]
 
     def describe(self) -> list[dict[str, object]]:
-        """Return the requests that are quarantined, for operators."""
+        """Return the requests with known crashes, gravest first, for operators."""
         now = self._now()
         return [
             {
@@ -335,24 +340,24 @@
         ]
 
     def _persist(self, fingerprint: str, now: float) -> None:
-        """Have the store keep a quarantined request.
+        """Write the crashes of a quarantined request to the store.
 
-        Without it, once all instances have been ended together, nobody would know; the
-        request would end three more servers each time.
+        Otherwise they would be lost if all instances crash together, and the request
+        would crash three more servers each time.
         """
         self._rows.persist(
             fingerprint, self.crash_records.list_crashes(fingerprint, now)
         )
 
     def _persist_again(self) -> None:
-        """Write what a store that came back from an older copy may lack."""
+        """Write the rows again that a store restored from an older copy may lack."""
         now = self._now()
         for name in self.crash_records.list_by_state(QuarantineState.QUARANTINED, now):
             if OWN in self._reporters.get(name, ()):
                 self._persist(name, now)
 
     def _merge_persisted(self, crashes: list[ServerCrash]) -> None:
-        """Take what the store has kept, and tell those that do not ask it."""
+        """Merge the stored crashes, and send the new ones to the other instances."""
         new_crashes = self.merge_reported(crashes, STORE)
         if new_crashes:
             self._send_crashes(new_crashes)
--- a/ashpond/controllers/quarantinerows.py
+++ b/ashpond/controllers/quarantinerows.py
@@ -1,7 +1,7 @@
-"""The rows in which the store keeps quarantined requests.
+"""The rows of the store with the crashes of quarantined requests.
 
-They are for the case that all instances end together: else who starts hears of
-quarantined requests from the others.
+They are needed only if all instances crash together. Otherwise an instance that starts
+receives the crashes from its peers.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     from ashpond.gateway.store import Store
 
 QUARANTINE_TABLE = "ashpond-quarantine"
-# Rows that wait to be written; one for each request that is quarantined.
+# Rows that wait to be written, one for each quarantined request.
 MAX_QUEUED_WRITES = 32
 RETRY_SECONDS = 0.5
 MAX_WRITE_ATTEMPTS = 10
-# An instance that starts hears from the others within a second; only if all were ended
-# together does nobody know, and then those that read for the others ask (seconds).
+# An instance that starts receives the crashes from its peers within a second. The rows
+# are read after that, by the instances that read the store for others (seconds).
 LOAD_DELAY_SECONDS = 1.0
 MAX_LOAD_ATTEMPTS = 60
 
@@ -37,7 +37,7 @@
 class _RowEnd(msgspec.Struct):
     server: str
     born: int | None
-    # On the store's steady clock, in seconds.
+    # On the store's monotonic clock (seconds).
     sent_at: float
     ended_at: float
 
@@ -50,7 +50,7 @@
 
 
 def encode_row(fingerprint: str, crashes: Sequence[ServerCrash]) -> Row:
-    """Return the row that keeps the ends of a quarantined request."""
+    """Return the row with the crashes of a quarantined request."""
     table = _Row(
         [_RowEnd(e.server_id, e.started_ms, e.sent_at, e.crashed_at) for e in crashes]
     )
@@ -58,7 +58,7 @@
 
 
 def decode_row(row: Row) -> list[ServerCrash] | InvalidRow:
-    """Return the ends that a row tells of."""
+    """Return the crashes in a row, or the row as invalid."""
     try:
         table = _ROW_DECODER.decode(row.value or b"")
         return [
@@ -80,9 +80,9 @@
 
 
 class QuarantineRows:
-    """Writes the rows, and reads them once after the start.
+    """The writer of the rows, which also reads them once after the start.
 
-    :param is_reader: whether this instance asks the store for others as well.
+    :param is_reader: returns whether this instance reads the store for others as well.
     """
 
     def __init__(
@@ -103,10 +103,10 @@
         get_keep_seconds: Callable[[], float],
         merge: Callable[[list[ServerCrash]], None],
     ) -> None:
-        """Read what the store keeps, and write to it, until cancelled.
+        """Read the rows once, and write the queued ones, until cancelled.
 
-        :param get_keep_seconds: returns for how long an end counts.
-        :param take: is called with the ends of each row that counts.
+        :param get_keep_seconds: returns how long a crash counts (seconds).
+        :param merge: is called with the crashes of each row that has not expired.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._load, get_keep_seconds, merge)
@@ -114,11 +114,11 @@
                 await self._write(row)
 
     def persist(self, fingerprint: str, crashes: Sequence[ServerCrash]) -> None:
-        """Have the store keep a request."""
+        """Queue the row of a quarantined request for writing."""
         self._enqueue(encode_row(fingerprint, crashes))
 
     def remove(self, fingerprint: str) -> None:
-        """Have the store forget a request."""
+        """Queue the removal of a request's row."""
         self._enqueue(Row(QUARANTINE_TABLE, fingerprint, None, 0))
 
     def _enqueue(self, row: Row) -> None:
@@ -142,7 +142,7 @@
         get_keep_seconds: Callable[[], float],
         merge: Callable[[list[ServerCrash]], None],
     ) -> None:
-        """Learn what the store keeps."""
+        """Read the rows, with retries, if this instance reads the store for others."""
         await trio.sleep(LOAD_DELAY_SECONDS)
         if not self._is_reader():
             return
