--- a/ashpond/controllers/admission.py
+++ b/ashpond/controllers/admission.py
@@ -160,11 +160,11 @@
             service = self._configuration.current.services.get(name)
             if service is None:
                 continue
-            places = self._engines.list_slot_counts(
+            slot_counts = self._engines.list_slot_counts(
                 name, service.concurrency_per_server
             )
-            queue.capacity = compute_capacity(places, instances)
-            queue.servers_per_instance = max(1, len(places)) / instances
+            queue.capacity = compute_capacity(slot_counts, instances)
+            queue.servers_per_instance = max(1, len(slot_counts)) / instances
             queue.expected_wait = self._engines.estimate_wait(name)
             self._start_ready(queue)
             self._metrics.running.set({"service": name}, queue.running)
--- a/ashpond/controllers/orderlease.py
+++ b/ashpond/controllers/orderlease.py
@@ -116,7 +116,7 @@
         if write is None:
             return
         sent_at = trio.current_time()
-        changes = self._store.era.changes
+        era_changes = self._store.era.changes
         value = orjson.dumps(
             {
                 "holder": write.row.holder,
@@ -131,7 +131,7 @@
             [Condition(LEASE_TABLE, key, write.version)],
             [Row(LEASE_TABLE, key, value, 0), *rows],
         )
-        if changes != self._store.era.changes:
+        if era_changes != self._store.era.changes:
             # The write belongs to the previous era.
             return
         self._old_keys.clear()
--- a/ashpond/controllers/permits.py
+++ b/ashpond/controllers/permits.py
@@ -92,7 +92,7 @@
             )
         if verdict is None:
             self._count("unanswered")
-            self._pace(state, UNANSWERED_PAUSE_SECONDS)
+            self._pause(state, UNANSWERED_PAUSE_SECONDS)
             return False
         if verdict.is_granted:
             self._count("granted")
@@ -102,10 +102,10 @@
         state.permit_refusals += 1
         jitter = self._rng.random()
         pause = plan_pause(verdict.retry_after, state.permit_refusals, jitter)
-        self._pace(state, pause)
+        self._pause(state, pause)
         return False
 
-    def _pace(self, state: ServerState, seconds: float) -> None:
+    def _pause(self, state: ServerState, seconds: float) -> None:
         if state.is_limited:
             state.permit_pause_until = trio.current_time() + seconds
 
