--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -54,8 +54,9 @@
 MAX_FRAME_BYTES = 1 << 20
 # How often links, instance count and accounts are adjusted to the members (seconds).
 ADJUST_SECONDS = 0.5
-# The same at the start: coordinators only have the time of connected instances.
+# The same until configured: coordinators only get the time of linked instances.
 STARTUP_SECONDS = 0.05
+# The configuration version and limit of a team that no peer has named.
 _UNKNOWN: tuple[int, Allowance | None] = (0, None)
 # How long links stay open after the last rate limit of a server was lifted (seconds).
 LINGER_SECONDS = 30.0
