--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -139,15 +139,15 @@
 
     def _merge(self, crash: ServerCrash) -> None:
         now = trio.current_time()
-        name = crash.fingerprint
+        fingerprint = crash.fingerprint
         if not self._crash_records.note(crash, now):
             return
-        if self._crash_records.was_answered(name, now):
-            self._crash_records.clear(name, now)
+        if self._crash_records.was_answered(fingerprint, now):
+            self._crash_records.clear(fingerprint, now)
         fields = {
-            "fingerprint": name,
-            "standing": self._crash_records.classify(name, now),
-            "servers": self._crash_records.list_servers(name, now),
+            "fingerprint": fingerprint,
+            "standing": self._crash_records.classify(fingerprint, now),
+            "servers": self._crash_records.list_servers(fingerprint, now),
         }
         logger.notice("call_judged", extra=fields)
 
--- a/ashpond/controllers/crashdetection.py
+++ b/ashpond/controllers/crashdetection.py
@@ -172,7 +172,9 @@
             # is not their cause.
             since = max(since, attempts.reachable_at)
         lost = [
-            found for found in attempts.requests.values() if found.failed_at >= since
+            request
+            for request in attempts.requests.values()
+            if request.failed_at >= since
         ]
         attempts.crashed_at = now
         attempts.requests.clear()
@@ -182,10 +184,10 @@
             born=server.started_ms,
             evidence=evidence,
             after=round(now - attempts.failed_at, 4),
-            in_flight=sorted(found.fingerprint for found in lost),
+            in_flight=sorted(request.fingerprint for request in lost),
         )
-        for found in lost:
-            self._on_lost(found)
+        for request in lost:
+            self._on_lost(request)
 
     def _count_crash(self, server: WatchedServer, now: float) -> None:
         if server.owner in self._crashes or len(self._crashes) >= MAX_CRASHES:
@@ -204,7 +206,9 @@
             if count >= peak or now - at > HAZARD_SECONDS:
                 self._peaks[service] = (count, now)
         since = now - HAZARD_SECONDS
-        self._crashes = {o: end for o, end in self._crashes.items() if end[1] >= since}
+        self._crashes = {
+            o: crash for o, crash in self._crashes.items() if crash[1] >= since
+        }
 
     def measure_hazard(self) -> float:
         """Return the recent hazard rate of the service with the highest one.
@@ -213,13 +217,13 @@
         """
         self.note_server_counts()
         since = self._watched_since or 0.0
-        ended = Counter(service for service, _ in self._crashes.values())
+        crashes = Counter(service for service, _ in self._crashes.values())
         watched = max(MIN_HAZARD_SECONDS, trio.current_time() - since)
         seconds = min(HAZARD_SECONDS, watched)
         return max(
             (
                 count / (self._peaks.get(service, (1, 0.0))[0] * seconds)
-                for service, count in ended.items()
+                for service, count in crashes.items()
             ),
             default=0.0,
         )
--- a/ashpond/controllers/quarantine.py
+++ b/ashpond/controllers/quarantine.py
@@ -185,9 +185,9 @@
         """Record a request of this instance that was in flight at a crash."""
         server = lost.server
         sent_at = self._clock.estimate_store_time(lost.sent_at)
-        ended_at = self._clock.estimate_store_time(lost.failed_at)
+        crashed_at = self._clock.estimate_store_time(lost.failed_at)
         crash = ServerCrash(
-            lost.fingerprint, server.id, server.started_ms, sent_at, ended_at
+            lost.fingerprint, server.id, server.started_ms, sent_at, crashed_at
         )
         now = self._now()
         if not self._merge(crash, now, OWN):
@@ -214,17 +214,19 @@
 
         If a server has answered the request here lately, the crash is cleared.
         """
-        name = crash.fingerprint
+        fingerprint = crash.fingerprint
         if not self.crash_records.note(crash, now):
             return False
-        self._reporters.setdefault(name, set()).add(reporter)
-        if self.crash_records.was_answered(name, now):
-            self._note_cleared(self.crash_records.clear(name, now), "answered here")
-        new_state = self.crash_records.classify(name, now)
-        if new_state is not self._states.get(name, QuarantineState.FREE):
-            self._note_state(name, new_state, now)
+        self._reporters.setdefault(fingerprint, set()).add(reporter)
+        if self.crash_records.was_answered(fingerprint, now):
+            self._note_cleared(
+                self.crash_records.clear(fingerprint, now), "answered here"
+            )
+        new_state = self.crash_records.classify(fingerprint, now)
+        if new_state is not self._states.get(fingerprint, QuarantineState.FREE):
+            self._note_state(fingerprint, new_state, now)
         if new_state is not QuarantineState.SUSPECTED:
-            self._wake(name)
+            self._wake(fingerprint)
         return True
 
     def note_answered(self, fingerprint: str | None) -> None:
@@ -251,38 +253,43 @@
         return bool(cleared)
 
     def _release(
-        self, name: str, cleared: list[ServerCrash], reason: str, *, was_persisted: bool
+        self,
+        fingerprint: str,
+        cleared: list[ServerCrash],
+        reason: str,
+        *,
+        was_persisted: bool,
     ) -> None:
         if not cleared:
             return
         self._note_cleared(cleared, reason)
-        self._wake(name)
+        self._wake(fingerprint)
         if was_persisted:
-            self._rows.remove(name)
+            self._rows.remove(fingerprint)
 
     def _note_cleared(self, cleared: list[ServerCrash], reason: str) -> None:
         """Log that a request is not the cause, and report it if its crashes were."""
         if not cleared:
             return
-        name = cleared[0].fingerprint
-        self._unsent.discard(name)
-        self._log.note("request_cleared", fingerprint=name, reason=reason)
-        if name in self._shared:
+        fingerprint = cleared[0].fingerprint
+        self._unsent.discard(fingerprint)
+        self._log.note("request_cleared", fingerprint=fingerprint, reason=reason)
+        if fingerprint in self._shared:
             self._send_crashes(cleared)
 
-    def _note_state(self, name: str, state: QuarantineState, now: float) -> None:
-        was_persisted = self._states.get(name) in PERSISTED_STATES
-        self._states[name] = state
+    def _note_state(self, fingerprint: str, state: QuarantineState, now: float) -> None:
+        was_persisted = self._states.get(fingerprint) in PERSISTED_STATES
+        self._states[fingerprint] = state
         self._log.note(
             f"request_{state}",
-            fingerprint=name,
-            servers=self.crash_records.list_servers(name, now),
-            told_by=sorted(self._reporters.get(name, ())),
+            fingerprint=fingerprint,
+            servers=self.crash_records.list_servers(fingerprint, now),
+            told_by=sorted(self._reporters.get(fingerprint, ())),
         )
         if state in PERSISTED_STATES and not was_persisted:
             self._metrics.count_quarantined()
-            if OWN in self._reporters.get(name, ()):
-                self._persist(name, now)
+            if OWN in self._reporters.get(fingerprint, ()):
+                self._persist(fingerprint, now)
 
     def note_refused(self, fingerprint: str | None) -> None:
         """Count a refusal for a quarantined request."""
@@ -321,22 +328,24 @@
         for fingerprints in (self._unsent, self._shared):
             fingerprints.intersection_update(self.crash_records.list_fingerprints())
         for by_fingerprint in (self._reporters, self._refused, self._states):
-            for name in by_fingerprint.keys() - self.crash_records.list_fingerprints():
-                del by_fingerprint[name]
+            for fingerprint in (
+                by_fingerprint.keys() - self.crash_records.list_fingerprints()
+            ):
+                del by_fingerprint[fingerprint]
 
     def describe(self) -> list[dict[str, object]]:
         """Return the requests with known crashes, gravest first, for operators."""
         now = self._now()
         return [
             {
-                "fingerprint": name,
+                "fingerprint": fingerprint,
                 "standing": state,
-                "servers": self.crash_records.list_servers(name, now),
-                "told_by": sorted(self._reporters.get(name, ())),
-                "refused_here": self._refused[name],
+                "servers": self.crash_records.list_servers(fingerprint, now),
+                "told_by": sorted(self._reporters.get(fingerprint, ())),
+                "refused_here": self._refused[fingerprint],
             }
             for state in reversed(QuarantineState)
-            for name in self.crash_records.list_by_state(state, now)
+            for fingerprint in self.crash_records.list_by_state(state, now)
         ]
 
     def _persist(self, fingerprint: str, now: float) -> None:
@@ -352,9 +361,11 @@
     def _persist_again(self) -> None:
         """Write the rows again that a store restored from an older copy may lack."""
         now = self._now()
-        for name in self.crash_records.list_by_state(QuarantineState.QUARANTINED, now):
-            if OWN in self._reporters.get(name, ()):
-                self._persist(name, now)
+        for fingerprint in self.crash_records.list_by_state(
+            QuarantineState.QUARANTINED, now
+        ):
+            if OWN in self._reporters.get(fingerprint, ()):
+                self._persist(fingerprint, now)
 
     def _merge_persisted(self, crashes: list[ServerCrash]) -> None:
         """Merge the stored crashes, and send the new ones to the other instances."""
--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -26,7 +26,7 @@
 
 # Takes a server whose limit has changed, and its previous limit (requests a second).
 OnLimit = Callable[["ServerState", float | None], None]
-MISDIRECTED = 421
+MISDIRECTED_REQUEST = 421
 # Longer backoffs are cut to this (seconds).
 MAX_BACKOFF_SECONDS = 3600.0
 # A random jitter keeps instances that were rejected together from retrying at once: up
@@ -73,7 +73,7 @@
             return
         # A 421 without an id may come from another server at the address, so that a
         # missing limit does not lift the known one.
-        is_from_server = status != MISDIRECTED or marks.server_id is not None
+        is_from_server = status != MISDIRECTED_REQUEST or marks.server_id is not None
         self._apply_limit(state, marks, sent_at, is_from_server=is_from_server)
         if marks.is_leaving_invalid:
             self._note(state, "server_leaving_invalid")
@@ -91,8 +91,8 @@
 
     def _apply_limit_notice(self, state: ServerState, limit: LimitNotice) -> None:
         now = trio.current_time()
-        weighed = update_limit_from_peer(state.rate_limit, limit.rate, limit.age, now)
-        self._set_limit(state, weighed, "peer")
+        updated = update_limit_from_peer(state.rate_limit, limit.rate, limit.age, now)
+        self._set_limit(state, updated, "peer")
 
     def _apply_limit(
         self,
@@ -108,12 +108,12 @@
             return
         now = trio.current_time()
         known = state.rate_limit
-        weighed = update_limit(known, marks.rate_limit, sent_at, now)
-        self._set_limit(state, weighed, "answer")
-        if weighed.rate == known.rate:
+        updated = update_limit(known, marks.rate_limit, sent_at, now)
+        self._set_limit(state, updated, "answer")
+        if updated.rate == known.rate:
             self._resend_raised_limit(state, sent_at, now)
             return
-        if not _is_lower(weighed, known):
+        if not _is_lower(updated, known):
             state.limit_raised_at = now
         self._send_limit(state, now - sent_at)
 
@@ -131,14 +131,16 @@
             self._send_limit(state, now - sent_at)
 
     def _set_limit(self, state: ServerState, limit: RateLimit, source: str) -> None:
-        before = state.rate_limit.rate
+        previous_rate = state.rate_limit.rate
         state.rate_limit = limit
-        if limit.rate == before:
+        if limit.rate == previous_rate:
             return
         state.limit_raised_at = None
-        self._note(state, "server_limit", rate=limit.rate, before=before, source=source)
+        self._note(
+            state, "server_limit", rate=limit.rate, before=previous_rate, source=source
+        )
         if self._on_limit is not None:
-            self._on_limit(state, before)
+            self._on_limit(state, previous_rate)
 
     def _note_leaving(self, state: ServerState, source: str) -> None:
         if state.is_leaving:
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -38,21 +38,21 @@
     def __init__(
         self,
         table: ServerTable,
-        holdings: CacheIndex,
+        cache_index: CacheIndex,
         pool: ChannelPool,
-        ends: CrashDetector,
+        crash_detector: CrashDetector,
         log: DecisionLog,
-        statements: ServerDirectives,
+        directives: ServerDirectives,
         get_news: Callable[[], Newsroom],
         get_rollouts: Callable[[], RolloutController],
         wake: Callable[[], None],
     ):
         self._table = table
-        self._holdings = holdings
+        self._cache_index = cache_index
         self._pool = pool
-        self._ends = ends
+        self._crash_detector = crash_detector
         self._log = log
-        self._statements = statements
+        self._directives = directives
         self._get_news = get_news
         self._get_rollouts = get_rollouts
         self._wake = wake
@@ -64,9 +64,9 @@
         run, whatever the new start reports.
         """
         server_id = state.info.id
-        self._holdings.remove_server(server_id)
+        self._cache_index.remove_server(server_id)
         self._pool.forget(previous.owner)
-        self._ends.note_crash(previous.watched, CrashEvidence.NEW_START)
+        self._crash_detector.note_crash(previous.watched, CrashEvidence.NEW_START)
         self._get_rollouts().forget_start(server_id)
         self._log.note(
             "server_started_anew",
@@ -86,7 +86,7 @@
         state = self._table.by_id.get(notice.server_id)
         if notice.limit is not None or notice.is_leaving:
             if state is not None:
-                self._statements.apply_notice(state, notice)
+                self._directives.apply_notice(state, notice)
             return
         if notice.is_unreached:
             if state is not None:
@@ -107,7 +107,7 @@
         now = trio.current_time()
         order = self._table.note_start(entry.server_id, entry.started_ms, now)
         if order is not StartOrder.OLDER:
-            self._holdings.note_reported(entry, now)
+            self._cache_index.note_reported(entry, now)
 
     def note_cached_prompt(self, state: ServerState, salt: str, prompt: Prompt) -> None:
         """Record that an engine has read a prompt, and send that to the peers."""
@@ -115,15 +115,15 @@
             return
         now = trio.current_time()
         info = state.info
-        for entry in self._holdings.note_read(
+        for entry in self._cache_index.note_read(
             info.id, salt, prompt, now, info.started_ms
         ):
             self._get_news().tell_holding(entry)
 
-    def on_entry_gone(self, gone: ServerState) -> None:
+    def on_entry_gone(self, state: ServerState) -> None:
         """Record a crash of a server whose row is gone; close its connections."""
-        self._ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
-        self._pool.forget(gone.owner)
+        self._crash_detector.note_crash(state.watched, CrashEvidence.ENTRY_GONE)
+        self._pool.forget(state.owner)
 
     def on_connection_refused(self, server: WatchedServer) -> None:
         """Exclude a server that refuses connections, and notify the peers."""
