--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -25,7 +25,7 @@
 
 STEPS = 30
 # More than the buffers between both sides hold.
-LARGE = 16 << 20
+LARGE_ANSWER_BYTES = 16 << 20
 IDLE_SECONDS = 2.0
 LAST_REQUEST = REQUEST.replace(b"Host: a", b"Host: a\r\nConnection: close")
 
@@ -42,10 +42,10 @@
 
 async def answer_large(exchange: Exchange) -> None:
     await drain(exchange)
-    await answer(exchange, b"x" * LARGE)
+    await answer(exchange, b"x" * LARGE_ANSWER_BYTES)
 
 
-async def test_what_comes_after_the_limit_woke_its_task_is_seen_before_the_close(
+async def test_request_sent_as_the_idle_timeout_expires_is_answered(
     mock_clock,
 ):
     """Without the last look at the socket 20 of these requests got no answer."""
@@ -74,7 +74,7 @@
             await take_steps(STEPS)
 
 
-async def test_a_limit_that_grows_in_the_step_in_which_it_runs_out_is_in_force(
+async def test_idle_timeout_raised_as_it_expires_takes_effect(
     mock_clock,
 ):
     """Without asking for the limit again 99 of 240 connections were closed by it."""
@@ -82,26 +82,28 @@
         for _ in range(12):
             desk.set_idle_limit(IDLE_SECONDS)
             clients = await desk.open(20)
-            open_then = []
+            open_before_raise = []
 
-            async def grow(at, clients=clients, open_then=open_then):
+            async def raise_timeout(
+                at, clients=clients, open_before_raise=open_before_raise
+            ):
                 await trio.sleep_until(at)
                 desk.set_idle_limit(15.0)
-                open_then += [client for client in clients if client.is_open()]
+                open_before_raise += [client for client in clients if client.is_open()]
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(grow, trio.current_time() + IDLE_SECONDS)
+                nursery.start_soon(raise_timeout, trio.current_time() + IDLE_SECONDS)
                 await take_steps(5)
                 mock_clock.jump(IDLE_SECONDS)
             await take_steps(STEPS)
-            assert all(client.is_open() for client in open_then)
+            assert all(client.is_open() for client in open_before_raise)
             for client in clients:
                 client.close()
             await take_steps(STEPS)
 
 
 @pytest.mark.parametrize("rest", [b"", b"\r\n", b"POST /x HTTP/1.1\r\n"])
-async def test_a_request_whose_client_has_left_is_not_passed_on(rest):
+async def test_request_of_a_disconnected_client_is_not_forwarded(rest):
     async with run_desk() as desk:
         clients = await desk.open(20)
         for client in clients:
@@ -112,7 +114,7 @@
     assert desk.passed_on == set()
 
 
-async def test_an_answer_that_its_client_does_not_take_is_told(autojump_clock):
+async def test_answer_that_its_client_does_not_read_is_reported(autojump_clock):
     async with run_listener(answer_large) as running:
         stream = await running.connect()
         async with stream:
@@ -122,7 +124,7 @@
     assert (closed.by, closed.has_call) == (ClosedBy.ANSWER_NOT_TAKEN, True)
 
 
-async def test_a_client_that_takes_little_holds_no_shutdown(autojump_clock):
+async def test_slow_reader_does_not_delay_the_shutdown(autojump_clock):
     """Shielded writes once held it for 132 s at a grace period of 5 s."""
     running = Running()
     listener = Listener({running.address: answer_large}, lambda: running.limits)
@@ -148,7 +150,7 @@
 
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-async def test_a_broken_answer_does_not_look_complete(version):
+async def test_broken_answer_does_not_look_complete(version):
     async def stop_early(exchange: Exchange) -> None:
         await drain(exchange)
         await exchange.start(200, [])
@@ -168,7 +170,7 @@
     assert not data.endswith(b"0\r\n\r\n")
 
 
-async def test_a_handler_that_fails_at_the_end_of_the_grace_ends_no_process(
+async def test_handler_error_at_the_end_of_the_grace_period_does_not_crash_the_process(
     autojump_clock,
 ):
     async def fail(exchange: Exchange) -> None:
@@ -191,7 +193,7 @@
         running.stop.set()
 
 
-async def test_a_failure_after_the_answer_does_not_throw_it_away():
+async def test_handler_error_after_the_answer_does_not_discard_the_answer():
     """Unread bytes reset the connection: 3,904 of 300,000 bytes were lost once."""
     size = 300_000
 
@@ -213,15 +215,15 @@
             assert len(await read_all(stream)) > size
 
 
-async def test_trouble_at_accepting_is_told_and_accepting_goes_on(
+async def test_accept_error_is_reported_and_accepting_continues(
     autojump_clock, monkeypatch
 ):
-    told: list[tuple[str, str]] = []
+    reported: list[tuple[str, str]] = []
     running = Running()
     listener = Listener(
         {running.address: drain_and_answer},
         lambda: running.limits,
-        note_trouble=lambda event, error: told.append((event, repr(error))),
+        note_trouble=lambda event, error: reported.append((event, repr(error))),
     )
     accept = trio.SocketListener.accept
     failures = [OSError(errno.EMFILE, "too many open files")]
@@ -240,12 +242,12 @@
         assert await running.ask(REQUEST) == b""
         assert (await running.ask(LAST_REQUEST)).endswith(b"ok")
         running.stop.set()
-    ((event, error),) = told
+    ((event, error),) = reported
     assert event == "accepting_paused"
     assert "too many" in error
 
 
-async def test_a_handler_that_stops_before_it_wrote_anything_is_answered_for():
+async def test_handler_that_stops_before_sending_a_body_gets_a_500_answer():
     async def stop_early(exchange: Exchange) -> None:
         await drain(exchange)
         await exchange.start(200, [])
--- a/tests/test_connectionlog.py
+++ b/tests/test_connectionlog.py
@@ -26,9 +26,9 @@
     return Closed(by, 4, 1.5, 2.0, has_call, None)
 
 
-def test_a_cut_call_is_counted_and_told_with_what_tells_causes_apart():
-    recorder, metrics, lines = make_log()
-    recorder.note_cut(CutCall("r1", CutBy.CLIENT, 0.067, 1.99, 2.0))
+def test_cut_call_is_counted_and_logged_with_its_cause():
+    connection_log, metrics, lines = make_log()
+    connection_log.note_cut(CutCall("r1", CutBy.CLIENT, 0.067, 1.99, 2.0))
     (line,) = lines
     assert line["event"] == "call_cut"
     assert (line["id"], line["by"], line["leaving"]) == ("r1", "client", True)
@@ -37,26 +37,26 @@
 
 
 @pytest.mark.parametrize("by", [ClosedBy.IDLE_LIMIT, ClosedBy.SHUTDOWN])
-def test_a_close_of_this_side_leaves_a_line(by):
-    recorder, metrics, lines = make_log()
-    recorder.note_closed(make_closed(by))
+def test_close_by_the_instance_is_logged(by):
+    connection_log, metrics, lines = make_log()
+    connection_log.note_closed(make_closed(by))
     (line,) = lines
     assert (line["event"], line["by"]) == ("connection_closed", by)
     assert f'closed{{cause="{by}"}} 1'.encode() in metrics.render()
 
 
-def test_an_idle_end_by_the_client_is_only_counted():
-    recorder, metrics, lines = make_log()
-    recorder.note_closed(make_closed(ClosedBy.CLIENT))
-    recorder.note_closed(make_closed(ClosedBy.CLIENT, has_call=True))
+def test_idle_close_by_the_client_is_counted_but_not_logged():
+    connection_log, metrics, lines = make_log()
+    connection_log.note_closed(make_closed(ClosedBy.CLIENT))
+    connection_log.note_closed(make_closed(ClosedBy.CLIENT, has_call=True))
     assert [line["has_call"] for line in lines] == [True]
     assert b'closed{cause="client"} 2' in metrics.render()
 
 
-def test_only_long_hold_ups_leave_a_line():
-    recorder, metrics, lines = make_log()
-    recorder._note_delay(LoopDelay(1.0, 0.03))
-    recorder._note_delay(LoopDelay(2.0, 0.067))
+def test_only_long_loop_delays_are_logged():
+    connection_log, metrics, lines = make_log()
+    connection_log._note_delay(LoopDelay(1.0, 0.03))
+    connection_log._note_delay(LoopDelay(2.0, 0.067))
     assert [(line["event"], line["seconds"]) for line in lines] == [
         ("loop_delayed", 0.067)
     ]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -31,20 +31,20 @@
         data += await stream.receive_some(1000)
 
 
-async def reset_at_once(stream: trio.SocketStream) -> None:
+async def reset_immediately(stream: trio.SocketStream) -> None:
     await trio.aclose_forcefully(stream)
 
 
-async def reset_after_the_body(stream: trio.SocketStream) -> None:
+async def reset_after_reading(stream: trio.SocketStream) -> None:
     await read_request(stream)
     await trio.aclose_forcefully(stream)
 
 
-async def say_nothing(stream: trio.SocketStream) -> None:
+async def never_answer(stream: trio.SocketStream) -> None:
     await trio.sleep_forever()
 
 
-async def break_off(stream: trio.SocketStream) -> None:
+async def reset_within_the_answer(stream: trio.SocketStream) -> None:
     await read_request(stream)
     await stream.send_all(HEAD + b"X-Attempt-Id: a1\r\n\r\nab")
     await trio.aclose_forcefully(stream)
@@ -56,31 +56,31 @@
     await trio.sleep_forever()
 
 
-async def answer_another(stream: trio.SocketStream) -> None:
+async def answer_with_another_attempt_id(stream: trio.SocketStream) -> None:
     await read_request(stream)
     await stream.send_all(HEAD + b"X-Attempt-Id: b2\r\n\r\nwhole")
     await trio.sleep_forever()
 
 
-async def fail(stream: trio.SocketStream) -> None:
+async def answer_500(stream: trio.SocketStream) -> None:
     await read_request(stream)
     await stream.send_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 
 
-async def refuse_itself(stream: trio.SocketStream) -> None:
+async def refuse_without_running(stream: trio.SocketStream) -> None:
     await read_request(stream)
     head = b"HTTP/1.1 503 No\r\nX-Not-Run: true\r\nContent-Length: 0\r\n\r\n"
     await stream.send_all(head)
 
 
 CASES = [
-    (reset_at_once, MaybeRun),
-    (reset_after_the_body, MaybeRun),
-    (say_nothing, MaybeRun),
-    (break_off, MaybeRun),
-    (answer_another, MaybeRun),
-    (fail, MaybeRun),
-    (refuse_itself, NotRun),
+    (reset_immediately, MaybeRun),
+    (reset_after_reading, MaybeRun),
+    (never_answer, MaybeRun),
+    (reset_within_the_answer, MaybeRun),
+    (answer_with_another_attempt_id, MaybeRun),
+    (answer_500, MaybeRun),
+    (refuse_without_running, NotRun),
     (answer, Answered),
 ]
 
@@ -107,7 +107,9 @@
 @pytest.mark.parametrize(
     ("server", "expected"), CASES, ids=lambda c: getattr(c, "__name__", "")
 )
-async def test_only_what_was_never_sent_is_not_run(server, expected, kind):
+async def test_attempt_counts_as_not_run_only_if_the_server_says_so(
+    server, expected, kind
+):
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(trio.serve_tcp, server, 0)
         port = listeners[0].socket.getsockname()[1]
@@ -116,7 +118,7 @@
 
 
 @pytest.mark.parametrize("kind", ["plain", "engine"])
-async def test_a_refused_connection_is_not_run(kind):
+async def test_refused_connection_counts_as_not_run(kind):
     listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
     port = listener.socket.getsockname()[1]
     await listener.aclose()
@@ -125,7 +127,9 @@
 
 
 @pytest.mark.parametrize("kind", ["plain", "engine"])
-async def test_a_kept_connection_that_ends_never_repeats_a_request(kind: str) -> None:
+async def test_request_is_not_sent_again_when_a_kept_connection_closes(
+    kind: str,
+) -> None:
     """httpx keeps connections; a server may end one as it takes the next request."""
     requests = 0
 
@@ -149,7 +153,7 @@
 
 
 @pytest.mark.parametrize("kind", ["plain", "engine"])
-async def test_a_kept_connection_that_has_ended_is_not_used(kind: str) -> None:
+async def test_closed_kept_connection_is_not_used(kind: str) -> None:
     ended = trio.Event()
 
     async def answer_and_end(stream: trio.SocketStream) -> None:
@@ -169,7 +173,7 @@
         nursery.cancel_scope.cancel()
 
 
-class OpenedResponse:
+class FakeResponse:
     """An engine's response whose head has come."""
 
     def __init__(self) -> None:
@@ -179,17 +183,17 @@
         self.is_closed = True
 
 
-async def test_an_answer_that_comes_as_the_caller_leaves_is_closed() -> None:
+async def test_answer_that_arrives_as_the_caller_leaves_is_closed() -> None:
     """The head of an engine's answer and the caller's end come in one step.
 
     Evidence: looked for after an incident in which a close and a request met in one
     step; nobody held the response, and nothing closed it.
     """
     none: Any = None
-    response: Any = OpenedResponse()
+    response: Any = FakeResponse()
     caller = trio.CancelScope()
 
-    class Leaving(Dispatcher):
+    class CancellingDispatcher(Dispatcher):
         async def _open(self, call: Call, attempt: _Attempt, after: int) -> Answered:
             await trio.testing.wait_all_tasks_blocked()
             caller.cancel()
@@ -200,7 +204,7 @@
         ) -> None:
             await trio.sleep_forever()
 
-    dispatcher = Leaving(
+    dispatcher = CancellingDispatcher(
         make_settings(), none, none, none, none, none, none, make_client(0.5, 0.5), none
     )
     call = make_call()
@@ -210,7 +214,7 @@
     assert response.is_closed
 
 
-async def test_a_resumed_stream_that_nobody_begins_to_read_is_closed(
+async def test_resumed_stream_that_is_never_read_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A caller returns for its stream and leaves before its first event is read.
@@ -218,17 +222,17 @@
     Evidence: looked for with the test above; a generator that has not begun has
     nothing to end, so nothing closed the engine's response.
     """
-    response: Any = OpenedResponse()
+    response: Any = FakeResponse()
 
     async def resume_at_once(*args: object) -> EngineAnswer:
         return EngineAnswer("x", 200, "i1", "s1", "w1", None, response)
 
-    class Engines:
+    class FakeEngines:
         servers = {"e1": SimpleNamespace(config=SimpleNamespace(address="x"))}
 
     monkeypatch.setattr(resumption, "_resume", resume_at_once)
     none: Any = None
-    engines: Any = Engines()
+    engines: Any = FakeEngines()
     resume = resumption.make_resumption(none, engines, none)
     call = make_call()
     reply: Any = await resume(call, StreamToken("e1", "i1", "s1", "desk"), 0)
@@ -248,7 +252,7 @@
     ],
 )
 @pytest.mark.parametrize("is_plain", [True, False])
-async def test_the_backoff_that_a_server_asks_for_is_read(
+async def test_backoff_requested_by_a_server_is_parsed(
     head: bytes, backoff: float | None, is_plain: bool
 ) -> None:
     async def reject(stream: trio.SocketStream) -> None:
--- a/tests/test_gateway_ingress.py
+++ b/tests/test_gateway_ingress.py
@@ -55,7 +55,7 @@
     return head.encode() + body
 
 
-class Running:
+class RunningGateway:
     def __init__(self, gateway: Gateway, store: MemoryStore):
         self.gateway = gateway
         self.store = store
@@ -64,7 +64,7 @@
         address = self.gateway.settings.callers_address.split(":")
         return await trio.open_tcp_stream(address[0], int(address[1]))
 
-    async def ask(self, request: bytes) -> bytes:
+    async def send_request(self, request: bytes) -> bytes:
         stream = await self.connect()
         async with stream:
             await stream.send_all(request)
@@ -81,7 +81,7 @@
 @asynccontextmanager
 async def run_gateway(
     server_address: str, *, is_known: bool = True
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningGateway]:
     store = MemoryStore()
     configuration = {**CONFIGURATION, "routes": ROUTES}
     if is_known:
@@ -93,7 +93,7 @@
     log = DecisionLog("i0", 2)
     log.flush = lambda: log._lines.clear()  # type: ignore[method-assign]
     gateway = Gateway(SettingsFile("", make_settings()), platform, pool, log)
-    running = Running(gateway, store)
+    running = RunningGateway(gateway, store)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(gateway.run)
         await wait_for(lambda: gateway.is_ready() or not is_known)
@@ -108,21 +108,21 @@
         await stream.send_all(make_answer(head, extra="X-Engine-Seal: s\r\n"))
 
 
-async def test_a_request_is_served_from_end_to_end() -> None:
+async def test_request_and_answer_are_forwarded_unchanged() -> None:
     async with run_server(answer_all) as address, run_gateway(address) as running:
-        answer = await running.ask(make_request("/x/a%2Fb/../?q=%20", b"body"))
+        answer = await running.send_request(make_request("/x/a%2Fb/../?q=%20", b"body"))
     assert answer.startswith(b"HTTP/1.1 200")
     assert b"x-engine-seal: s" in answer.lower()
     assert answer.endswith(b"POST /x/a%2Fb/../?q=%20 HTTP/1.1")
 
 
-async def test_a_target_may_name_scheme_and_host() -> None:
+async def test_target_with_scheme_and_host_is_accepted() -> None:
     async with run_server(answer_all) as address, run_gateway(address) as running:
-        answer = await running.ask(make_request("http://a.example/x/1?q"))
+        answer = await running.send_request(make_request("http://a.example/x/1?q"))
     assert answer.endswith(b"POST /x/1?q HTTP/1.1")
 
 
-async def test_an_answer_to_head_has_no_body_and_keeps_the_connection() -> None:
+async def test_answer_to_head_has_no_body_and_keeps_the_connection() -> None:
     async def answer_head(stream: trio.SocketStream, number: int) -> None:
         while await read_request(stream):
             await stream.send_all(
@@ -138,22 +138,22 @@
                 assert answer.startswith(b"HTTP/1.1 200")
 
 
-async def test_refusals_of_the_routers_own() -> None:
+async def test_unknown_route_wrong_key_and_large_body_are_refused() -> None:
     async with run_server(answer_all) as address, run_gateway(address) as running:
-        unknown = await running.ask(make_request("/none/"))
-        no_key = await running.ask(make_request(key="other"))
-        large = await running.ask(make_request(body=b"x" * ((4 << 20) + 1)))
+        unknown = await running.send_request(make_request("/none/"))
+        no_key = await running.send_request(make_request(key="other"))
+        large = await running.send_request(make_request(body=b"x" * ((4 << 20) + 1)))
     assert unknown.startswith(b"HTTP/1.1 404")
     assert no_key.startswith(b"HTTP/1.1 401")
     assert large.startswith(b"HTTP/1.1 413")
 
 
-async def test_before_a_configuration_is_known_calls_are_refused_for_now() -> None:
+async def test_calls_without_a_configuration_get_503_with_retry_after() -> None:
     async with (
         run_server(answer_all) as address,
         run_gateway(address, is_known=False) as running,
     ):
-        answer = await running.ask(make_request())
+        answer = await running.send_request(make_request())
         ready = await running.fetch(running.gateway.settings.readiness_address)
     assert answer.startswith(b"HTTP/1.1 503")
     assert b"retry-after" in answer.lower()
@@ -162,7 +162,7 @@
 
 async def test_readiness_and_metrics_are_served() -> None:
     async with run_server(answer_all) as address, run_gateway(address) as running:
-        await running.ask(make_request())
+        await running.send_request(make_request())
         settings = running.gateway.settings
         ready = await running.fetch(settings.readiness_address)
         metrics = await running.fetch(settings.metrics_address, "/metrics")
@@ -171,9 +171,9 @@
     assert b"ashpond_gateway_seconds" in metrics
 
 
-async def test_the_status_tells_what_is_believed() -> None:
+async def test_status_page_shows_configuration_members_and_servers() -> None:
     async with run_server(answer_all) as address, run_gateway(address) as running:
-        await running.ask(make_request())
+        await running.send_request(make_request())
         answer = await running.fetch(
             running.gateway.settings.metrics_address, "/status"
         )
@@ -184,10 +184,12 @@
     assert status["servers"][0]["weights"] == {"m1": 3}
 
 
-async def test_a_quarantined_request_is_shown_and_released() -> None:
+async def test_quarantined_request_is_listed_and_can_be_released() -> None:
     async with run_server(answer_all) as address, run_gateway(address) as running:
         gateway = running.gateway
-        assert (await running.ask(make_request("/x/1"))).startswith(b"HTTP/1.1 200")
+        assert (await running.send_request(make_request("/x/1"))).startswith(
+            b"HTTP/1.1 200"
+        )
         (name,) = gateway.quarantine.crash_records._answered
         gateway.quarantine.crash_records._answered.clear()
         now = gateway.quarantine._now()
@@ -195,8 +197,12 @@
             ServerCrash(name, f"s{n}", n, now - 9 + n, now - 8.5 + n) for n in (1, 2, 3)
         ]
         gateway.quarantine.merge_reported(ends, "i7")
-        assert (await running.ask(make_request("/x/1"))).startswith(b"HTTP/1.1 400")
-        assert (await running.ask(make_request("/x/2"))).startswith(b"HTTP/1.1 200")
+        assert (await running.send_request(make_request("/x/1"))).startswith(
+            b"HTTP/1.1 400"
+        )
+        assert (await running.send_request(make_request("/x/2"))).startswith(
+            b"HTTP/1.1 200"
+        )
         metrics = gateway.settings.metrics_address
         shown = await running.fetch(metrics, "/status")
         (case,) = orjson.loads(shown.partition(b"\r\n\r\n")[2])["quarantine"]
@@ -214,7 +220,9 @@
             lambda: runner.invoke(main, ["gateway", "release", metrics, name])
         )
         assert (released.exit_code, released.output) == (0, f"released: {name}\n")
-        assert (await running.ask(make_request("/x/1"))).startswith(b"HTTP/1.1 200")
+        assert (await running.send_request(make_request("/x/1"))).startswith(
+            b"HTTP/1.1 200"
+        )
         again = await trio.to_thread.run_sync(
             lambda: runner.invoke(main, ["gateway", "release", metrics, name])
         )
@@ -222,32 +230,32 @@
         assert "nothing counts against" in again.output
 
 
-async def test_a_client_that_leaves_ends_the_servers_work() -> None:
-    asked = trio.Event()
-    left = trio.Event()
+async def test_disconnect_of_the_client_closes_the_server_connection() -> None:
+    request_received = trio.Event()
+    connection_closed = trio.Event()
 
-    async def hold(stream: trio.SocketStream, number: int) -> None:
+    async def wait_for_close(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
-        asked.set()
+        request_received.set()
         assert await stream.receive_some(1) == b""
-        left.set()
+        connection_closed.set()
 
-    async with run_server(hold) as address, run_gateway(address) as running:
+    async with run_server(wait_for_close) as address, run_gateway(address) as running:
         stream = await running.connect()
         await stream.send_all(make_request("/s/1"))
-        await asked.wait()
+        await request_received.wait()
         await stream.aclose()
         with trio.fail_after(20):
-            await left.wait()
+            await connection_closed.wait()
 
 
-async def test_a_stream_that_breaks_looks_broken() -> None:
-    async def break_off(stream: trio.SocketStream, number: int) -> None:
+async def test_broken_stream_does_not_look_complete() -> None:
+    async def break_stream(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(STREAM_BEGIN)
         await stream.aclose()
 
-    async with run_server(break_off) as address, run_gateway(address) as running:
+    async with run_server(break_stream) as address, run_gateway(address) as running:
         stream = await running.connect()
         await stream.send_all(make_request("/s/1"))
         data = b""
@@ -257,13 +265,13 @@
     assert not data.endswith(b"0\r\n\r\n")
 
 
-async def test_a_shutdown_cuts_no_stream_and_ends() -> None:
-    may_end = trio.Event()
+async def test_shutdown_lets_open_streams_end() -> None:
+    may_finish = trio.Event()
 
     async def stream_slowly(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(STREAM_BEGIN)
-        await may_end.wait()
+        await may_finish.wait()
         await stream.send_all(b"7\r\nid: 2\n\n\r\n0\r\n\r\n")
 
     async with run_server(stream_slowly) as address, run_gateway(address) as running:
@@ -273,9 +281,9 @@
         running.gateway.leave()
         ready = await running.fetch(running.gateway.settings.readiness_address)
         assert ready.startswith(b"HTTP/1.1 503")
-        other = await running.ask(make_request("/none/"))
+        other = await running.send_request(make_request("/none/"))
         assert b"connection: close" in other.lower()
-        may_end.set()
+        may_finish.set()
         while piece := await stream.receive_some(65_536):
             data += piece
         assert data.endswith(b"0\r\n\r\n")
@@ -289,7 +297,7 @@
         ({"unknown": '"x"'}, "unknown"),
     ],
 )
-def test_bad_settings_name_file_key_and_reason(
+def test_error_for_bad_settings_names_file_key_and_reason(
     change: dict[str, str], key: str
 ) -> None:
     values: dict[str, Any] = {
@@ -316,7 +324,7 @@
         file.write("\n".join([*lines, "[bounds]", f"revocation_ms = {revocation_ms}"]))
 
 
-def test_changed_settings_come_into_force_and_broken_ones_do_not(
+def test_reload_applies_valid_settings_and_keeps_old_ones_on_errors(
     tmp_path: object,
 ) -> None:
     path = f"{tmp_path}/node.toml"
@@ -332,7 +340,7 @@
 
 
 @pytest.mark.parametrize("bound_ms", [2000, 3000, 5000, 30_000])
-async def test_a_waiting_call_ends_before_its_instance_is_in_doubt(
+async def test_long_poll_ends_before_the_configuration_counts_as_outdated(
     bound_ms: float,
 ) -> None:
     """Soak seed 303: with a bound of 3 s each late answer left nothing to go by."""
@@ -342,12 +350,12 @@
     gateway = Gateway(SettingsFile("", settings), platform, pool, DecisionLog("i0", 2))
     feeds = {feed.table: feed for feed in gateway._build_feeds()}
     operator = feeds[OPERATOR_TABLE]
-    doubt = bound_ms / 1000 * DOUBT_SHARE
-    assert operator.wait <= doubt * 0.7
-    assert operator.wait < operator.idle_timeout < doubt
+    outdated_after = bound_ms / 1000 * DOUBT_SHARE
+    assert operator.wait <= outdated_after * 0.7
+    assert operator.wait < operator.idle_timeout < outdated_after
 
 
-async def test_a_slow_store_does_not_put_off_the_close(autojump_clock: object) -> None:
+async def test_slow_store_does_not_delay_the_close(autojump_clock: object) -> None:
     """Instances were killed with calls open: their grace began a second too late."""
     pool = ChannelPool()
     platform = build_platform(MemoryStore().build_port(), pool)
--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -16,7 +16,7 @@
 from tests.builders import FILES, OTHER_KEY, TEAM_KEY, make_call, make_configuration
 
 
-class Declared:
+class FixedConfiguration:
     current = make_configuration()
 
 
@@ -27,7 +27,7 @@
         passed.append(parsed)
         return Reply(200, {}, b"")
 
-    reply = await make_parsing(Declared())(call, following)  # type: ignore
+    reply = await make_parsing(FixedConfiguration())(call, following)  # type: ignore
     return passed[0] if passed else reply
 
 
@@ -36,7 +36,7 @@
     return orjson.dumps({"model": "reader", "messages": messages} | changes)
 
 
-junk = st.recursive(
+any_json = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**40), 2**40) | st.text(max_size=9),
     lambda inner: (
         st.lists(inner, max_size=4)
@@ -48,7 +48,7 @@
 
 
 @given(
-    changes=st.dictionaries(fields, junk, max_size=3),
+    changes=st.dictionaries(fields, any_json, max_size=3),
     kind=st.sampled_from([CallKind.CHAT, CallKind.TEXT]),
 )
 async def test_any_body_is_a_call_or_an_error(changes, kind):
@@ -86,7 +86,7 @@
         assert all(0 < end <= len(outcome.prompt) for end in outcome.level_ends)
 
 
-async def test_a_caller_cannot_lift_what_a_service_forbids():
+async def test_caller_cannot_allow_retries_that_the_service_forbids():
     call = make_call(
         CallKind.PLAIN,
         service_name="booker",
@@ -97,7 +97,7 @@
     assert not parsed.repeatable
 
 
-async def test_a_service_of_another_team_looks_like_none():
+async def test_service_of_another_team_looks_unknown():
     hidden = await parse(make_call(body=make_chat(model="secret")))
     absent = await parse(make_call(body=make_chat(model="absent")))
     assert isinstance(hidden, Reply)
@@ -107,16 +107,16 @@
 
 
 @given(header=st.text(max_size=60))
-def test_no_other_header_authenticates(header):
-    found = find_team(Declared.current, header)
+def test_header_without_a_valid_key_does_not_authenticate(header):
+    found = find_team(FixedConfiguration.current, header)
     assert found is None or TEAM_KEY in header or OTHER_KEY in header
 
 
-async def test_a_key_finds_its_team():
+async def test_key_identifies_its_team():
     async def following(call: Call) -> Reply:
         return Reply(200, {}, call.team_name.encode())
 
-    authenticate = make_authentication(Declared())  # type: ignore
+    authenticate = make_authentication(FixedConfiguration())  # type: ignore
     call = make_call(headers={"authorization": f"Bearer {OTHER_KEY}"})
     assert (await authenticate(call, following)).body == b"other"
 
@@ -130,11 +130,11 @@
 
 
 @given(text=st.text(max_size=60))
-def test_no_text_is_a_stream_token_unless_signed(text):
+def test_unsigned_text_is_no_valid_stream_token(text):
     assert read_stream_token("s" * 16, text) is None
 
 
-def test_a_stream_token_is_read_only_under_its_secret():
+def test_stream_token_is_valid_only_with_its_secret():
     token = StreamToken("engine-1", "i1", "s1", "desk")
     text = make_stream_token("s" * 16, token)
     assert read_stream_token("s" * 16, text) == token
