--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""How a connection ends when its client, its handler or its process misbehaves."""
+"""Tests of connection ends caused by clients, handlers, timeouts and shutdowns."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 STEPS = 30
-# More than the buffers between both sides hold.
+# More than the socket buffers of both sides hold.
 LARGE_ANSWER_BYTES = 16 << 20
 IDLE_SECONDS = 2.0
 LAST_REQUEST = REQUEST.replace(b"Host: a", b"Host: a\r\nConnection: close")
@@ -48,7 +48,11 @@
 async def test_request_sent_as_the_idle_timeout_expires_is_answered(
     mock_clock,
 ):
-    """Without the last look at the socket 20 of these requests got no answer."""
+    """The socket must be checked once more before an idle connection is closed.
+
+    A request can arrive after the timeout has woken the connection's task. Without the
+    check, 20 of these requests got no answer.
+    """
     async with run_desk() as desk:
         desk.set_idle_limit(IDLE_SECONDS)
         for _ in range(12):
@@ -57,7 +61,7 @@
 
             async def ask(at, clients=clients, asked=asked):
                 await trio.sleep_until(at)
-                # Either this task or those of the connections run first.
+                # Either this task or the tasks of the connections run first.
                 if all(client.is_open() for client in clients):
                     asked += clients
                     for client in clients:
@@ -77,7 +81,10 @@
 async def test_idle_timeout_raised_as_it_expires_takes_effect(
     mock_clock,
 ):
-    """Without asking for the limit again 99 of 240 connections were closed by it."""
+    """The idle timeout must be read again when it expires.
+
+    Otherwise 99 of 240 connections were closed by the old timeout.
+    """
     async with run_desk() as desk:
         for _ in range(12):
             desk.set_idle_limit(IDLE_SECONDS)
@@ -125,7 +132,10 @@
 
 
 async def test_slow_reader_does_not_delay_the_shutdown(autojump_clock):
-    """Shielded writes once held it for 132 s at a grace period of 5 s."""
+    """A client that reads slowly must not block the end of the grace period.
+
+    Shielded writes delayed the shutdown by 132 s at a grace period of 5 s.
+    """
     running = Running()
     listener = Listener({running.address: answer_large}, lambda: running.limits)
     ended_at: list[float] = []
@@ -194,7 +204,10 @@
 
 
 async def test_handler_error_after_the_answer_does_not_discard_the_answer():
-    """Unread bytes reset the connection: 3,904 of 300,000 bytes were lost once."""
+    """Closing a socket with unread input resets the connection.
+
+    The client then lost 3,904 of the 300,000 bytes of its answer.
+    """
     size = 300_000
 
     async def fail_late(exchange: Exchange) -> None:
--- a/tests/test_connectionlog.py
+++ b/tests/test_connectionlog.py
@@ -1,4 +1,4 @@
-"""Lines and counters on how calls and connections end."""
+"""Tests of the log lines and counters for ends of calls and connections."""
 
 from __future__ import annotations
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""What is known of a request's effect, for each way in which sending fails."""
+"""Tests of the outcome of an attempt for each way in which it can fail."""
 
 from __future__ import annotations
 
@@ -130,7 +130,7 @@
 async def test_request_is_not_sent_again_when_a_kept_connection_closes(
     kind: str,
 ) -> None:
-    """httpx keeps connections; a server may end one as it takes the next request."""
+    """A server may close a kept connection after it has read the next request."""
     requests = 0
 
     async def answer_once(stream: trio.SocketStream) -> None:
@@ -174,7 +174,7 @@
 
 
 class FakeResponse:
-    """An engine's response whose head has come."""
+    """An engine's response of which only the head has been received."""
 
     def __init__(self) -> None:
         self.is_closed = False
@@ -184,10 +184,9 @@
 
 
 async def test_answer_that_arrives_as_the_caller_leaves_is_closed() -> None:
-    """The head of an engine's answer and the caller's end come in one step.
+    """The head of an engine's answer and the caller's cancellation come in one step.
 
-    Evidence: looked for after an incident in which a close and a request met in one
-    step; nobody held the response, and nothing closed it.
+    The response then had no owner, and nothing closed it.
     """
     none: Any = None
     response: Any = FakeResponse()
@@ -217,10 +216,10 @@
 async def test_resumed_stream_that_is_never_read_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caller returns for its stream and leaves before its first event is read.
+    """A caller resumes its stream and leaves before the first event is read.
 
-    Evidence: looked for with the test above; a generator that has not begun has
-    nothing to end, so nothing closed the engine's response.
+    The cleanup code of a generator that has not started does not run, so nothing closed
+    the engine's response.
     """
     response: Any = FakeResponse()
 
--- a/tests/test_gateway_ingress.py
+++ b/tests/test_gateway_ingress.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback: real sockets towards clients, servers and the store."""
+"""Tests of a whole gateway with real sockets for clients and servers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.row_builders import CONFIGURATION, ROUTE, SERVER
 from tests.servers import make_answer, read_request, run_server
 
-# Time enough that no test ends because a request's time is over.
+# Long enough that no request of a test reaches its timeout.
 LONG_ROUTE = {**ROUTE, "backends": None, "service": "s1", "timeout_ms": 120_000}
 ROUTES = [
     {**LONG_ROUTE, "kind": "idempotent"},
@@ -343,7 +343,11 @@
 async def test_long_poll_ends_before_the_configuration_counts_as_outdated(
     bound_ms: float,
 ) -> None:
-    """Soak seed 303: with a bound of 3 s each late answer left nothing to go by."""
+    """The store must be polled again before the configuration counts as outdated.
+
+    With a bound of 3 s, one late answer of the store used to exceed that time, and the
+    instance refused calls.
+    """
     settings = make_settings()._replace(bounds=GatewayBounds(revocation_ms=bound_ms))
     pool = ChannelPool()
     platform = build_platform(MemoryStore().build_port(), pool)
@@ -356,7 +360,10 @@
 
 
 async def test_slow_store_does_not_delay_the_close(autojump_clock: object) -> None:
-    """Instances were killed with calls open: their grace began a second too late."""
+    """A store that does not answer must not use up the grace period.
+
+    The close began a second too late, and instances were killed with calls open.
+    """
     pool = ChannelPool()
     platform = build_platform(MemoryStore().build_port(), pool)
     log = DecisionLog("i0", 2)
--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -1,4 +1,4 @@
-"""Whatever a caller sends is a checked call or a documented error."""
+"""Tests that any input results in a valid call or a documented error."""
 
 from __future__ import annotations
 
