--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -105,7 +105,7 @@
             log,
             self.metrics,
             self.invalid_rows,
-            lambda ends: self.news.tell_ends(ends),
+            lambda crashes: self.news.tell_ends(crashes),
             lambda: self.news.is_reader,
             lambda: list(self.members.by_name),
         )
@@ -113,7 +113,7 @@
         self.table = self.store_view.table
         self.cache_index = CacheIndex()
         self.cache_stores = CacheStores(
-            lambda: self.news.is_reader, lambda news: self.news.publish(news)
+            lambda: self.news.is_reader, lambda update: self.news.publish(update)
         )
         self.retry_budgets = RetryBudgets(
             lambda: self.settings.bounds,
@@ -330,11 +330,11 @@
         declaration = self.knowledge.declaration
         return declaration is not None and service in declaration.services
 
-    def _apply_table_update(self, news: TableUpdate) -> bool:
-        if news.table.startswith(EVENTS_PREFIX):
-            return self.cache_stores.apply_update(news)
-        follower = self.followers.get(news.table)
-        return follower is not None and follower.apply_update(news)
+    def _apply_table_update(self, update: TableUpdate) -> bool:
+        if update.table.startswith(EVENTS_PREFIX):
+            return self.cache_stores.apply_update(update)
+        follower = self.followers.get(update.table)
+        return follower is not None and follower.apply_update(update)
 
     def _get_limits(self) -> IngressLimits:
         declaration = self.knowledge.declaration
@@ -379,8 +379,8 @@
             return
         if has_changed:
             self.retry_budgets.reset()
-            keep = self.settings.bounds.quarantine_s
-            self.quarantine.crash_records.keep_seconds = keep
+            keep_seconds = self.settings.bounds.quarantine_s
+            self.quarantine.crash_records.keep_seconds = keep_seconds
             for feed in self._build_feeds():
                 self.followers[feed.table].feed = feed
             self.log.note("reload", cause=cause, settings=self.settings._asdict())
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -57,21 +57,25 @@
         desk.set_idle_limit(IDLE_SECONDS)
         for _ in range(12):
             clients = await desk.open(20)
-            asked = []
+            sending_clients = []
 
-            async def ask(at, clients=clients, asked=asked):
+            async def send_as_it_expires(
+                at, clients=clients, sending_clients=sending_clients
+            ):
                 await trio.sleep_until(at)
                 # Either this task or the tasks of the connections run first.
                 if all(client.is_open() for client in clients):
-                    asked += clients
+                    sending_clients += clients
                     for client in clients:
                         client.send()
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask, trio.current_time() + IDLE_SECONDS)
+                nursery.start_soon(
+                    send_as_it_expires, trio.current_time() + IDLE_SECONDS
+                )
                 await take_steps(5)
                 mock_clock.jump(IDLE_SECONDS)
-            for client in asked:
+            for client in sending_clients:
                 assert (await client.read()).endswith(BODY)
             for client in clients:
                 client.close()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -188,7 +188,7 @@
 
     The response then had no owner, and nothing closed it.
     """
-    none: Any = None
+    unused: Any = None
     response: Any = FakeResponse()
     caller = trio.CancelScope()
 
@@ -204,11 +204,19 @@
             await trio.sleep_forever()
 
     dispatcher = CancellingDispatcher(
-        make_settings(), none, none, none, none, none, none, make_client(0.5, 0.5), none
+        make_settings(),
+        unused,
+        unused,
+        unused,
+        unused,
+        unused,
+        unused,
+        make_client(0.5, 0.5),
+        unused,
     )
     call = make_call()
     with caller:
-        await dispatcher._open_before_timeout(call, none)
+        await dispatcher._open_before_timeout(call, unused)
     await call.exits.aclose()
     assert response.is_closed
 
@@ -230,9 +238,9 @@
         servers = {"e1": SimpleNamespace(config=SimpleNamespace(address="x"))}
 
     monkeypatch.setattr(resumption, "_resume", resume_at_once)
-    none: Any = None
+    unused: Any = None
     engines: Any = FakeEngines()
-    resume = resumption.make_resumption(none, engines, none)
+    resume = resumption.make_resumption(unused, engines, unused)
     call = make_call()
     reply: Any = await resume(call, StreamToken("e1", "i1", "s1", "desk"), 0)
     await reply.body.aclose()
--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -21,14 +21,14 @@
 
 
 async def parse(call: Call) -> Call | Reply:
-    passed: list[Call] = []
+    forwarded: list[Call] = []
 
     async def following(parsed: Call) -> Reply:
-        passed.append(parsed)
+        forwarded.append(parsed)
         return Reply(200, {}, b"")
 
     reply = await make_parsing(FixedConfiguration())(call, following)  # type: ignore
-    return passed[0] if passed else reply
+    return forwarded[0] if forwarded else reply
 
 
 def make_chat(**changes: object) -> bytes:
@@ -44,11 +44,11 @@
     ),
     max_leaves=10,
 )
-fields = st.sampled_from(["model", "messages", "stream", "max_tokens", "prompt"])
+body_fields = st.sampled_from(["model", "messages", "stream", "max_tokens", "prompt"])
 
 
 @given(
-    changes=st.dictionaries(fields, any_json, max_size=3),
+    changes=st.dictionaries(body_fields, any_json, max_size=3),
     kind=st.sampled_from([CallKind.CHAT, CallKind.TEXT]),
 )
 async def test_any_body_is_a_call_or_an_error(changes, kind):
