--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -48,7 +48,7 @@
 from ashpond.runtimeclock import SuspensionWatch
 
 MS = 1000.0
-# Ready only while the configuration data is younger than this share of its bound.
+# Ready while the configuration is younger than this share of the revocation bound.
 READY_SHARE = 0.55
 # Old weights are avoided from this share of their bound: requests may wait at servers.
 REQUIRED_SHARE = 0.85
@@ -58,7 +58,7 @@
 LEAVE_MEMBERS_SECONDS = 1.0
 # Part of the grace period that is left for the exit of the process (seconds).
 GRACE_MARGIN_SECONDS = 0.4
-SETTINGS_SECONDS = 2.0  # The file is read so often, as it may change without a signal.
+SETTINGS_SECONDS = 2.0  # Poll interval; the file may change without a signal.
 
 
 class Gateway:
@@ -274,7 +274,7 @@
         return self.settings_file.current
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then let calls in flight end."""
+        """Serve until SIGTERM, then finish the calls in flight."""
         self.log.note("started", settings=self.settings._asdict())
         self.connection_log.watch.start()
         async with trio.open_nursery() as nursery:
@@ -386,7 +386,7 @@
             self.log.note("reload", cause=cause, settings=self.settings._asdict())
 
     def leave(self) -> None:
-        """Begin the shutdown: no new connections, then the end of calls in flight."""
+        """Begin the shutdown: stop taking connections, finish open calls, then stop."""
         self.log.note("stopping", open_calls=self.ingress.open_calls)
         self.ingress.is_leaving = True
         self.leave_event.set()
--- a/ashpond/gateway/cleanup.py
+++ b/ashpond/gateway/cleanup.py
@@ -11,6 +11,7 @@
 if TYPE_CHECKING:
     from ashpond.gateway.application import Gateway
 
+# Interval at which expired servers are removed (seconds).
 EXPIRY_SECONDS = 0.5
 # Cache entries expire by their own times, so this interval only affects memory use
 # (seconds).
--- a/ashpond/gateway/settings.py
+++ b/ashpond/gateway/settings.py
@@ -35,7 +35,7 @@
 class GatewayBounds(NamedTuple):
     """Bounds set by the operators, in seconds (``_s``) or milliseconds (``_ms``)."""
 
-    # Time after the removal of a key within which requests with it stop running.
+    # Maximum time from the removal of a key until no request with it may run.
     revocation_ms: float = 5000
     # Time between SIGTERM and SIGKILL.
     grace_s: float = 8.0
@@ -44,8 +44,7 @@
     retry_share: float = 0.2
     retry_slack: float = 50
     retry_window_s: float = 10.0
-    # Time after a weight target is set within which requests stop starting on older
-    # weights.
+    # Maximum time from a weight target until no request may start on older weights.
     weights_ms: float = 10_000
     # Minimum time between orders of two successive lease holders.
     lease_ms: float = 3000
--- a/ashpond/gateway/store.py
+++ b/ashpond/gateway/store.py
@@ -114,9 +114,10 @@
     """The operations of a table store, and the era of its data.
 
     ``read(table)`` returns ``Done(Snapshot)``. ``follow(table, after, wait)`` is a
-    long poll: it returns the changes after version ``after`` as soon as there are any,
-    at the latest after ``wait`` seconds. ``write(conditions, puts)`` returns
-    ``Done(version)`` or ``Conflict``. A put without a value removes its row.
+    long poll: it returns ``Done(Snapshot)`` with the changes after version ``after`` as
+    soon as there are any, at the latest after ``wait`` seconds. ``write(conditions,
+    puts)`` returns ``Done(version)`` or ``Conflict``. A put without a value removes its
+    row.
     """
 
     read: Callable[[str], Awaitable[Done | Unavailable | Unknown]]
@@ -147,7 +148,7 @@
     def date(self, snapshot: Snapshot) -> float:
         """Return the latest time, on this process's clock, known to precede the answer.
 
-        Also improves the offset between the clocks.
+        Also updates the bound of the offset between the clocks.
         """
         offset = snapshot.sent_at - snapshot.store_time
         latest = snapshot.received_at - snapshot.store_time
--- a/tests/test_gateway_ingress.py
+++ b/tests/test_gateway_ingress.py
@@ -345,8 +345,8 @@
 ) -> None:
     """The store must be polled again before the configuration counts as outdated.
 
-    With a bound of 3 s, one late answer of the store used to exceed that time, and the
-    instance refused calls.
+    With a bound of 3 s, each late answer of the store left an instance in doubt about
+    keys and routes that it does not know.
     """
     settings = make_settings()._replace(bounds=GatewayBounds(revocation_ms=bound_ms))
     pool = ChannelPool()
