--- a/tests/crashingservers.py
+++ b/tests/crashingservers.py
@@ -1,4 +1,4 @@
-"""Instances as processes before servers that one request ends, whoever runs it."""
+"""Instance processes with servers that a deadly request crashes."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 from tests.soak.servers import parse_headers
 from tests.test_platform_store import answer_call
 
-# What the deadly request does, and how long its server is away (seconds).
+# How long the deadly request runs until its server crashes, and how long the server is
+# away (seconds).
 RUNNING_SECONDS = 0.05
 AWAY_SECONDS = 1.5
-# An entry goes after three heartbeats of silence (seconds).
+# A row disappears after three missed heartbeats (seconds).
 ENTRY_EXPIRY_SECONDS = 1.0
 WORK_SECONDS = 0.03
 DEADLY_BODY = b"deadly"
@@ -41,7 +42,7 @@
 
 
 class ClientResult(NamedTuple):
-    """How a request ended for its client; status 0 for no answer, or half of one."""
+    """The result of a request for its client; status 0 without a complete answer."""
 
     sent_at: float
     body: bytes
@@ -50,7 +51,10 @@
 
 
 class World:
-    """Store, servers and instances; ``kills`` says which bodies end a server."""
+    """A store, servers and instances.
+
+    ``is_deadly`` returns whether a request with that body crashes its server.
+    """
 
     def __init__(
         self,
@@ -76,7 +80,7 @@
         self.instances: list[Instance] = []
 
     async def run(self, play: Callable[[], object]) -> None:
-        """Start everything, run ``play`` and end the processes."""
+        """Start everything, run ``play`` and kill the processes."""
         async with trio.open_nursery() as nursery, httpx.AsyncClient() as client:
             self._client = client
             try:
@@ -125,7 +129,7 @@
                 era = self.memory.era
                 status, body = await answer_call(self.memory, request)
                 if self.memory.era != era:
-                    # Its connections end with the store.
+                    # The connections of the previous era are closed.
                     return
                 head = f"Store-Era: {era}\r\n"
                 data = orjson.dumps(body)
@@ -146,7 +150,7 @@
             await trio.sleep(AWAY_SECONDS - ENTRY_EXPIRY_SECONDS)
 
     async def _serve_until_crash(self, server_id: str, port: int) -> None:
-        """Serve until a request ends the server with all its connections."""
+        """Serve until a request crashes the server, then reset its connections."""
         streams: set[trio.SocketStream] = set()
         async with trio.open_nursery() as nursery:
 
@@ -213,7 +217,7 @@
         return ClientResult(sent_at, body, status, retry_after)
 
     async def ask_and_record(self, number: int, body: bytes) -> None:
-        """Send a request, and keep how it ended."""
+        """Send a request, and record its result."""
         self.results.append(await self.ask(number, body))
 
 
--- a/tests/directives.py
+++ b/tests/directives.py
@@ -1,25 +1,26 @@
-"""What a stand-in server says of itself, and the bounds that users state for it."""
+"""The directives of a stand-in server, and the bounds that instances must keep."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# The bounds that users state; all in seconds but the share and the slack.
+# In any window of so many seconds, a server may receive this share of the requests that
+# its limit allows, and the slack besides.
 LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_SHARE = 1.5
 LIMIT_SLACK = 5
-# From the first answer that names a limit until the limit has to be kept.
+# From the first answer that names a limit until the limit has to be kept (seconds).
 LIMIT_SETTLED_SECONDS = 3.0
-# From an instance's word that a server leaves until it gets nothing more from there.
+# From an answer that announces leaving until the instance sends nothing more (seconds).
 LEAVING_SECONDS = 2.0
-# So many requests may reach a server in a backoff that it asked an instance for.
+# The most requests of an instance that may reach a server during a backoff.
 BACKOFF_SLACK = 2
-# An instance is bound from so long after it was told.
+# From the receipt of a directive until the instance has to follow it (seconds).
 REACTION_SECONDS = 0.5
 
 
 class Directive(NamedTuple):
-    """An answer of a server to an instance, as far as it says something of the server.
+    """The directive in an answer of a server.
 
     ``status`` is 200, or that of an answer to a request that was not run.
     """
--- a/tests/directiveworld.py
+++ b/tests/directiveworld.py
@@ -1,4 +1,4 @@
-"""Instances as processes before servers that say something of themselves in answers."""
+"""Instance processes with servers that send directives in their answers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class SentDirective(NamedTuple):
-    """A statement that an instance was told."""
+    """A directive that a server has sent to an instance."""
 
     at: float
     server: str
@@ -41,9 +41,9 @@
 
 
 class DirectiveWorld(World):
-    """Servers whose answers say what ``speak`` returns for a server and a time.
+    """Servers whose answers carry the directive that ``choose_directive`` returns.
 
-    The time is in seconds since the play began.
+    Its arguments are the server's id and the seconds since the first request.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         *,
         side_task: Callable[[], object] | None,
     ) -> None:
-        """Send requests to the instances in turn, beside what ``ends`` does."""
+        """Send requests to the instances in turn, while ``side_task`` runs."""
         self.started_at = time.monotonic()
         async with trio.open_nursery() as nursery:
             if side_task is not None:
@@ -105,10 +105,10 @@
     directives: Iterable[SentDirective],
     until: float,
 ) -> int:
-    """Return the most requests that a limited server got in a window.
+    """Return the most requests that a limited server received in a window.
 
-    Counted are those of instances that it had told half a second before; the window
-    ends between the time from which the limit binds and ``until``.
+    Only requests of instances that received the limit at least half a second before
+    count. The window ends between the time from which the limit binds and ``until``.
     """
     first_sent_at: dict[int, float] = {}
     for sent in sorted(directives):
@@ -143,7 +143,7 @@
 def list_after_leaving(
     received: Iterable[ReceivedRequest], directives: Iterable[SentDirective]
 ) -> list[ReceivedRequest]:
-    """Return the requests that reached a server long after it had said it leaves."""
+    """Return the requests that reached a server too long after its announcement."""
     first_sent_at: dict[tuple[str, int], float] = {}
     for sent in sorted(directives):
         if sent.directive.is_leaving:
@@ -160,7 +160,7 @@
 def count_during_backoffs(
     received: Iterable[ReceivedRequest], directives: Iterable[SentDirective]
 ) -> int:
-    """Return the most requests that reached a server in a backoff it had asked for."""
+    """Return the most requests that reached a server during one of its backoffs."""
     arrivals = group_by_server(received)
     return max(
         (
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""Build fleets in virtual time before servers that end, also by a request."""
+"""Fleets in virtual time with servers that crash, also because of a request."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 from tests.scripted import Answer, RecordedReply, ScriptedResponse
 
 DEADLY_BODY = b"deadly"
-# A deadly request runs for this long before its server ends, which is away for so long
-# (seconds); its entry goes meanwhile.
+# How long a deadly request runs until its server crashes, how long the server is away,
+# and when its row disappears meanwhile (seconds).
 RUNNING_SECONDS = 0.05
 AWAY_SECONDS = 3.0
 ENTRY_EXPIRY_SECONDS = 2.4
@@ -53,7 +53,7 @@
 
 
 class ClientResult(NamedTuple):
-    """How a request ended for its client."""
+    """The result of a request for its client."""
 
     sent_at: float
     body: bytes
@@ -70,7 +70,7 @@
 
 
 class FleetPool:
-    """Connections of one instance to the servers of a fleet."""
+    """The connection pool of one instance to the servers of a fleet."""
 
     def __init__(self, fleet: Fleet):
         self._fleet = fleet
@@ -105,10 +105,10 @@
             with trio.move_on_after(RUNNING_SECONDS):
                 await self._server.crashed.wait()
             self._fleet.crash([self._server.server_id])
-            raise ChannelError("ended", is_sent=True)
+            raise ChannelError("crashed", is_sent=True)
         with trio.move_on_after(self._fleet.get_run_seconds(request.body)):
             await self._server.crashed.wait()
-            raise ChannelError("ended", is_sent=True)
+            raise ChannelError("crashed", is_sent=True)
         return ScriptedResponse(Answer())
 
     def close(self) -> None:
@@ -116,7 +116,7 @@
 
 
 class FleetInstance:
-    """The real decisions of one instance."""
+    """One instance with its real dispatcher, crash detection and quarantine."""
 
     def __init__(self, fleet: Fleet, name: str):
         self.name = name
@@ -182,10 +182,10 @@
 
 
 class Fleet:
-    """Servers, and instances that hear of each other's news ``lag`` seconds later.
+    """Servers, and instances that receive each other's reports after ``lag`` seconds.
 
-    ``work`` says how long a harmless request takes, by its body (seconds). One that is
-    silent for longer than the objective of the route allows is sent elsewhere.
+    ``run_seconds`` maps the bodies of harmless requests to how long they run (seconds).
+    A request without an answer for longer than the route's objective is sent elsewhere.
     """
 
     def __init__(
@@ -215,7 +215,7 @@
         self.start_instances(instances)
 
     def start_instances(self, count: int) -> None:
-        """End all instances there are, and start new ones that know nothing."""
+        """Stop all instances, and start new ones without any state."""
         self._scope.cancel()
         self._scope = trio.CancelScope()
         self.instances = [FleetInstance(self, f"i{number}") for number in range(count)]
@@ -244,7 +244,7 @@
                 receiver.quarantine.merge_reported(ends, sender.name)
 
     def reconnect(self) -> None:
-        """End a cut: instances that connect anew tell each other all they know."""
+        """Reconnect partitioned instances, which send their crashes to the others."""
         reconnected, self.partitioned = self.partitioned, set()
         for instance in self.instances:
             for other in self.instances:
@@ -253,7 +253,7 @@
                     other.quarantine.merge_reported(ends, instance.name)
 
     def note_connect_failure(self, server_id: str) -> None:
-        """Have all instances leave a server that refuses connections."""
+        """Exclude a server that refuses connections at all instances."""
         now = trio.current_time()
         for instance in self.instances:
             state = instance.table.by_id.get(server_id)
@@ -261,7 +261,7 @@
                 state.exclude_for(ENTRY_EXPIRY_SECONDS, now)
 
     def crash(self, names: Iterable[str]) -> None:
-        """End servers with all that runs there; each comes back as a new start."""
+        """Crash servers with all requests there; each is replaced by a new one."""
         for name in names:
             server = self.servers.pop(name, None)
             if server is not None:
@@ -288,7 +288,7 @@
             instance.table.update(info, trio.current_time())
 
     async def ask(self, number: int, body: bytes, timeout: float = 4.0) -> None:
-        """Have an instance handle a request, and keep how it ended."""
+        """Send a request to an instance, and record its result."""
         instance = self.instances[number % len(self.instances)]
         now = trio.current_time()
         instance.knowledge.confirm(now)
@@ -301,7 +301,7 @@
     async def ask_repeatedly(
         self, body: bytes, gap: float, timeout: float = 4.0
     ) -> None:
-        """Ask one instance after the other until cancelled."""
+        """Send a request to each instance in turn until cancelled."""
         number = 0
         while True:
             self._nursery.start_soon(self.ask, number, body, timeout)
--- a/tests/servers.py
+++ b/tests/servers.py
@@ -11,7 +11,7 @@
 
 
 async def read_request(stream: trio.SocketStream, *, with_body: bool = True) -> bytes:
-    """Return one request as it came."""
+    """Return the bytes of one request."""
     data = b""
     while b"\r\n\r\n" not in data:
         piece = await stream.receive_some(65_536)
@@ -31,7 +31,7 @@
 def make_answer(
     body: bytes = b"ok", request_id: str = "id-1", status: int = 200, extra: str = ""
 ) -> bytes:
-    """Return a whole answer."""
+    """Return the bytes of a complete answer."""
     head = (
         f"HTTP/1.1 {status} X\r\nX-Request-Id: {request_id}\r\n{extra}"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -41,7 +41,7 @@
 
 @asynccontextmanager
 async def run_server(script: Script) -> AsyncIterator[str]:
-    """Serve each connection by ``script(stream, number)``; give the address."""
+    """Serve each connection with ``script(stream, number)``; yield the address."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     count = 0
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -1,4 +1,4 @@
-"""Calls of the callers' API that end servers, as several instances see them."""
+"""Quarantine of calls of the callers' API that crash servers, at several instances."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeMembers:
-    """Carries facts from one instance to the others."""
+    """Members that pass the facts of one instance to another."""
 
     def __init__(self) -> None:
         self.listener: Any = None
@@ -54,7 +54,7 @@
         )
 
     def crash_server(self, call: Call, start: str) -> None:
-        """Lose a call with the end of a server's start."""
+        """Crash a start of a server while a call is in flight there."""
         server = WatchedServer(start, start, None, "127.0.0.1:9", "reader", False)
         self.quarantine.note_failed_attempt(call, server, trio.current_time() - 0.1)
         self.engines.on_crash(server, CrashEvidence.NEW_START)
@@ -79,7 +79,7 @@
     keep_away = make_quarantine(bench.quarantine, Metrics())
 
     async def follow(call: Call) -> Reply:
-        raise AssertionError("it must not be sent")
+        raise AssertionError("a quarantined call was sent")
 
     reply = await keep_away(call, follow)
     assert reply.status == 400
@@ -95,7 +95,7 @@
     await crash_three_servers(one, call)
     one.members.send_facts(other.members)
     assert other.classify(call) is QuarantineState.QUARANTINED
-    # Told again and again, it counts no more and no longer.
+    # Repeated reports neither count again nor extend the quarantine.
     await trio.sleep(callquarantine.RETENTION_SECONDS - 1)
     one.members.send_facts(other.members)
     other.members.send_facts(one.members)
--- a/tests/test_calls_that_crash_engines.py
+++ b/tests/test_calls_that_crash_engines.py
@@ -1,7 +1,7 @@
-"""A call of the callers' API that ends every engine which runs it.
+"""A call of the callers' API that crashes every engine which runs it.
 
-The same as in ``test_requests_that_end_servers.py``, by the other way in: a chat comes
-again and again, at any instance; the engines' processes end and are started again.
+As in ``test_requests_that_crash_servers.py``, but through the callers' API: the same
+chat request arrives repeatedly at all instances, and crashed engines are restarted.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
 from tools.fleet import Fleet
 
 DEADLY = "end now"
-# The news of three ends are there by then, each a gossip period old and settled.
+# By then all instances know three crashes, each reported within a gossip period, and
+# the state has settled.
 MAX_CALLS = 40
 GAP_SECONDS = 0.3
 
 
 def restart_dead(fleet: Fleet) -> int:
-    """Start the engines that have ended anew; return how many there were."""
+    """Restart the engines that have crashed; return their number."""
     dead = [engine for engine in fleet.engines if engine.popen.poll() is not None]
     for engine in dead:
         fleet.set_faults(fleet.restart_engine(engine), deadly_text=DEADLY)
--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -1,4 +1,4 @@
-"""What shows that a server has ended, and which requests were in flight there."""
+"""Which evidence shows a crash, and which requests are attributed to it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CountingPool:
-    """Answers each check as told, and counts them."""
+    """A pool that answers each check with ``reach``, and counts the checks."""
 
     def __init__(self, reach: Reach):
         self.reach = reach
@@ -83,7 +83,7 @@
     state = make_state()
     bench.detector.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(1)
-    # It ends later, for another reason; what broke before was not ended by it.
+    # It crashes later, which was not the reason of the earlier failure.
     bench.detector.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert not bench.lost
 
@@ -172,7 +172,7 @@
     )
     await trio.sleep(0.1)
     assert bench.pool.checks == 0
-    # What was in flight counts, if its end shows otherwise.
+    # The attempt counts once other evidence shows the crash.
     bench.detector.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert bench.list_lost() == ["f1"]
 
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -1,4 +1,4 @@
-"""What is believed of backend servers, and how long."""
+"""The server table, the retry budget, the cache index and cache stores' contents."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
 def take_until_exhausted(
     budgets: list[FleetRetryBudget], now: float, *, exchanges: bool = True
 ) -> int:
-    """Take repeats in turn until none gets any more."""
+    """Take retries from the budgets in turn until none allows any more."""
     is_any_left = True
     while is_any_left:
         got = [budget.take(len(budgets), now) for budget in budgets]
@@ -131,7 +131,7 @@
 
 
 def test_restarts_one_by_one_do_not_reset_the_budget() -> None:
-    """Seed 924511327911 of Hinokuni's trouble-2: 128 repeats where 124 are allowed."""
+    """Each restarted instance took a new share: 128 retries where 124 are allowed."""
     budgets = make_budgets(6)
     exchange_counts(budgets, 0.0)
     taken = 0
@@ -145,7 +145,7 @@
 
 
 def test_simultaneous_retries_share_the_remaining_budget_evenly() -> None:
-    """Grown Khangai scale-1: 1,185 repeats of 878 allowed, within a second of news."""
+    """Between two updates each took too much: 1,185 retries where 878 are allowed."""
     budgets = make_budgets(78)
     for budget in budgets:
         budget.lag = 1.2
--- a/tests/test_leaving_servers.py
+++ b/tests/test_leaving_servers.py
@@ -1,4 +1,4 @@
-"""Servers that say in their answers that they leave."""
+"""Servers that announce in their answers that they leave."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 async def test_leaving_server_gets_no_requests_though_its_row_says_ready(
     status: int, tmp_path: Path
 ) -> None:
-    """Its row goes on to say that it is ready, as with a store that is away."""
+    """The row still says ready, as during an outage of the store."""
 
     def leave(server_id: str, at: float) -> Directive:
         leaves = server_id == LEAVING and at >= LEAVES_AT
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,7 +1,7 @@
-"""Fleets whose servers end: which requests are quarantined, when, and which never.
+"""Which requests are quarantined, and when, in fleets whose servers crash.
 
-Real instances' decisions, in virtual time: dispatcher, places, ends, quarantine. Their
-news come late, are cut off, or nobody is left to tell them.
+The instances run the real dispatcher, reservations, crash detection and quarantine in
+virtual time. Their reports are delayed, cut off or lost with all instances.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from tests.gateway_builders import make_call
 from tests.quarantine_fleet import DEADLY_BODY, ClientResult, Fleet, compute_fingerprint
 
-# What the operators ask for: known to all so long after the third end (seconds), and
-# so many sends after it at most.
+# The required time from the third crash until all instances know it (seconds), and the
+# most attempts after that.
 PROPAGATION_SECONDS = 3.0
 MAX_ATTEMPTS = 3
 CRASHES = 3
-# News between instances: at once among few, over two hubs among many (seconds).
+# The delay of reports: direct in a small fleet, over two hubs in a large one (seconds).
 FULL_MESH_LAG = 0.05
 GROUP_LAG = 0.6
 POPULAR = b"popular"
@@ -31,13 +31,13 @@
 
 
 def list_late(fleet: Fleet) -> list[float]:
-    """Return when the deadly request was sent although it had to be known."""
+    """Return when the deadly request was sent after it had to be quarantined."""
     known_at = sorted(fleet.crashed_at)[CRASHES - 1] + PROPAGATION_SECONDS
     return [a.at for a in fleet.arrivals if a.body == DEADLY_BODY and a.at > known_at]
 
 
 def list_refused(fleet: Fleet) -> list[ClientResult]:
-    """Return the harmless requests that were refused for good."""
+    """Return the harmless requests that were refused without a retry."""
     return [s for s in fleet.results if s.body != DEADLY_BODY and s.status == 400]
 
 
--- a/tests/test_server_backoffs.py
+++ b/tests/test_server_backoffs.py
@@ -1,4 +1,4 @@
-"""Servers that reject requests and ask for a backoff."""
+"""Instance processes and servers that reject requests and ask for a backoff."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def test_server_gets_no_requests_during_its_backoff(tmp_path: Path) -> None:
-    """Two of four reject all; the requests of callers go to the others at once."""
+    """Two of four servers reject all requests, which the other two then answer."""
     world = DirectiveWorld(tmp_path, INSTANCES, 4, ask_for_backoff)
     await world.run(
         lambda: world.send_requests(PER_SECOND, PLAY_SECONDS, side_task=None)
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -1,4 +1,4 @@
-"""Servers that name the rate that they take from all instances together."""
+"""Servers that name a rate limit for the requests of all instances together."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 async def test_all_instances_together_keep_to_a_servers_rate_limit(
     ends: int | None, tmp_path: Path
 ) -> None:
-    """Also while one of them ends and begins anew; no caller pays for it."""
+    """The limit holds while an instance restarts, and no call fails because of it."""
     world = DirectiveWorld(tmp_path, INSTANCES, SERVERS, name_limit)
 
     async def end() -> None:
@@ -59,5 +59,5 @@
     assert count_fullest_window(limited, world.directives, until) <= BOUND
     if ends is None:
         assert {result.status for result in world.results} == {200}
-    # Once it names no limit any more, it gets its part of the requests again.
+    # Once the limit is lifted, the server gets its share of the requests again.
     assert sum(1 for request in limited if request.at > until + 1.0) > 4 * RATE * 3
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -1,8 +1,9 @@
-"""A backend server may start again under its id: what was known of it goes, at once.
+"""Restarts of a backend server under the same id.
 
-An engine that had started anew with older weights was taken to have the newer ones,
-its count of orders was the old one, so that each order was refused, and its prompt
-parts were fetched from it though it held nothing.
+All state of the previous start has to be dropped at once. Otherwise an engine that
+restarted with older weights is assumed to have the newer ones, refuses each order
+because of the previous start's count of orders, and is asked for cached prompt parts
+that it no longer has.
 """
 
 from __future__ import annotations
@@ -65,7 +66,7 @@
 
 
 def make_used_gateway(**changes: object) -> Gateway:
-    """Return an instance that knows much of one start of server "a"."""
+    """Return an instance with state of all kinds for one start of server "a"."""
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000, **changes), 0.0)
     state = gateway.table.by_id["a"]
@@ -146,7 +147,7 @@
     parts = [part.id for part in PROMPT.parts[:-1]]
     gateway.server_updates.on_cache_entry(CacheEntry("a", SALT, parts[0], 2000))
     now = trio.current_time()
-    # Of its weights nothing was told: what its entry said last is believed.
+    # A cache entry names no weights, so that those of the last row are kept.
     assert gateway.table.by_id["a"].weights == {MODEL: 1}
     assert gateway.cache_index.count_tokens_by_server(SALT, PROMPT, now) == {"a": 1000}
 
@@ -237,7 +238,7 @@
     fleet = Fleet(3, engines=2)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        # An order was accepted before, so that counts of both starts differ.
+        # The first start accepts an order, so that the counts of both starts differ.
         fleet.name_version(2)
         await run_until_current(fleet, 2, 10.0)
         fleet.name_version(3)
@@ -259,7 +260,7 @@
         await fleet.run(nursery)
         fleet.name_version(2)
         await run_until_current(fleet, 2, 10.0)
-        # The engine has taken one order; the next is lost and comes 6 s later.
+        # The engine has accepted one order; the next is lost and arrives 6 s later.
         fleet.engines.lost = 1
         fleet.name_version(3)
         while fleet.engines.lost:
@@ -274,7 +275,7 @@
 
 
 async def test_late_peer_load_of_the_old_start_is_ignored() -> None:
-    """Peers that had not heard of it told their old work for up to 1.5 s more."""
+    """Peers report load at the old start for up to 1.5 s after the restart."""
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
     peer = make_table(make_server("a", started_ms=1000))
@@ -284,7 +285,7 @@
     gateway.table.update(make_server("a", started_ms=2000), 0.2)
     gateway.table.note_peer_loads("p", peer.list_own_loads(), 0.3)
     assert gateway.table.sum_load("a", 0.4) == Load()
-    # Once it has heard, what it tells counts.
+    # Once the peer knows the new start, its load counts.
     peer.update(make_server("a", started_ms=2000), 0.5)
     peer.by_id["a"].load = Load(2)
     gateway.table.note_peer_loads("p", peer.list_own_loads(), 0.6)
@@ -292,7 +293,7 @@
 
 
 async def test_connection_to_the_old_start_is_not_reused_for_the_new() -> None:
-    """It was in use when the new start was heard of, and given back afterwards."""
+    """A connection in use when the restart is detected is released afterwards."""
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
     old = gateway.table.by_id["a"]
@@ -322,10 +323,10 @@
 
 
 class StartsMachine(RuleBasedStateMachine):
-    """A server starts again and again; word of each start comes in any order.
+    """A server that restarts repeatedly; messages about its starts arrive in any order.
 
-    The model keeps what each start has really read and loaded. What is believed may
-    be behind, and is never of an older start than one that was heard of.
+    The model keeps the weights that each start has loaded. The table may lag behind,
+    but never keeps an older start than the newest one that a message named.
     """
 
     def __init__(self) -> None:
@@ -402,19 +403,19 @@
 
 MUTANTS = [
     Mutant(
-        "all starts are one",
+        "all starts compare as the same",
         directory,
         "compare_starts",
         lambda known, told: StartOrder.SAME,
     ),
     Mutant(
-        "late word of an older start counts",
+        "late messages about an older start count",
         directory,
         "compare_starts",
         treat_all_as_newer,
     ),
     Mutant(
-        "an entry is taken over as it comes",
+        "a row is applied without comparing starts",
         ServerTable,
         "update",
         update_without_comparing,
--- a/tests/test_serverdirectives.py
+++ b/tests/test_serverdirectives.py
@@ -1,4 +1,4 @@
-"""What answers say of their servers, and what becomes of calls after it."""
+"""How directives in answers affect the server and the following calls."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 async def test_only_server_is_not_tried_during_its_backoff(
     autojump_clock: object,
 ) -> None:
-    """The request is refused at once, with the time at which the server is back."""
+    """The request is refused at once; Retry-After covers the backoff."""
     table = make_table(make_server("a"))
     await run_call(Answer(503, headers=(*BACKOFF, *NOT_RUN)), table=table)
     bench = await run_call(table=table)
