--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -125,12 +125,12 @@
         self.quarantine: Quarantine = make_quarantine(
             log,
             fleet.store,
-            lambda ends: fleet.broadcast(self, ends),
+            lambda crashes: fleet.broadcast(self, crashes),
             lambda: [instance.name for instance in fleet.instances],
-            lambda: self.ends.measure_hazard(),
+            lambda: self.crash_detector.measure_hazard(),
         )
         pool = FleetPool(fleet)
-        self.ends = CrashDetector(
+        self.crash_detector = CrashDetector(
             lambda server: pool.check(server.owner, server.address),
             log.note,
             self.quarantine.note_lost,
@@ -153,7 +153,7 @@
                 lambda: 1,
                 lambda server, salt, prompt: None,
                 lambda call, team: compute_fingerprint(call),
-                self.ends,
+                self.crash_detector,
                 ServerDirectives(
                     self.table,
                     log,
@@ -173,7 +173,7 @@
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.ends.run)
+            nursery.start_soon(self.crash_detector.run)
             nursery.start_soon(self.quarantine.run)
 
 
@@ -232,16 +232,16 @@
     def get_run_seconds(self, body: bytes) -> float:
         return self._run_seconds.get(body, 0.1)
 
-    def broadcast(self, sender: FleetInstance, ends: Sequence[ServerCrash]) -> None:
+    def broadcast(self, sender: FleetInstance, crashes: Sequence[ServerCrash]) -> None:
         if sender.name not in self.partitioned:
-            self._nursery.start_soon(self._deliver, sender, list(ends))
+            self._nursery.start_soon(self._deliver, sender, list(crashes))
 
-    async def _deliver(self, sender: FleetInstance, ends: list[ServerCrash]) -> None:
+    async def _deliver(self, sender: FleetInstance, crashes: list[ServerCrash]) -> None:
         receivers = [i for i in self.instances if i is not sender]
         await trio.sleep(self._lag)
         for receiver in receivers:
             if receiver.name not in self.partitioned:
-                receiver.quarantine.merge_reported(ends, sender.name)
+                receiver.quarantine.merge_reported(crashes, sender.name)
 
     def reconnect(self) -> None:
         """Reconnect partitioned instances, which send their crashes to the others."""
@@ -249,8 +249,8 @@
         for instance in self.instances:
             for other in self.instances:
                 if (instance.name in reconnected) != (other.name in reconnected):
-                    ends = instance.quarantine.list_for_new_peer()
-                    other.quarantine.merge_reported(ends, instance.name)
+                    crashes = instance.quarantine.list_for_new_peer()
+                    other.quarantine.merge_reported(crashes, instance.name)
 
     def note_connect_failure(self, server_id: str) -> None:
         """Exclude a server that refuses connections at all instances."""
@@ -273,9 +273,11 @@
         await trio.sleep(ENTRY_EXPIRY_SECONDS)
         now = trio.current_time()
         for instance in self.instances:
-            gone = instance.table.remove(name, now, may_reappear=False)
-            if gone is not None:
-                instance.ends.note_crash(gone.watched, CrashEvidence.ENTRY_GONE)
+            removed = instance.table.remove(name, now, may_reappear=False)
+            if removed is not None:
+                instance.crash_detector.note_crash(
+                    removed.watched, CrashEvidence.ENTRY_GONE
+                )
         await trio.sleep(AWAY_SECONDS - ENTRY_EXPIRY_SECONDS)
         self._start_server()
 
--- a/tests/test_calls_that_crash_engines.py
+++ b/tests/test_calls_that_crash_engines.py
@@ -32,18 +32,18 @@
     for engine in fleet.engines:
         fleet.set_faults(engine, deadly_text=DEADLY)
     deadly = make_body(messages=[{"role": "user", "content": DEADLY}])
-    ended = 0
+    crashes = 0
     refused: set[str] = set()
     for number in range(MAX_CALLS):
         instance = fleet.instances[number % 3]
         if ask(instance, deadly).status_code == 400:
             refused.add(instance.name)
         time.sleep(GAP_SECONDS)
-        ended += restart_dead(fleet)
+        crashes += restart_dead(fleet)
         if len(refused) == len(fleet.instances):
             break
     assert len(refused) == len(fleet.instances)
-    assert ended >= 3
+    assert crashes >= 3
     for instance in fleet.instances:
         answer = ask(instance, deadly)
         assert answer.status_code == 400
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -168,24 +168,24 @@
 
 
 def test_cache_entries_count_in_prompt_order_until_they_expire() -> None:
-    holdings = CacheIndex()
+    cache_index = CacheIndex()
     prompt = make_prompt("rules", "shop", "own")
-    holdings.note_read("a", "salt", prompt, 0.0)
-    assert holdings.count_tokens("a", "salt", prompt, 1.0) == 2000
+    cache_index.note_read("a", "salt", prompt, 0.0)
+    assert cache_index.count_tokens("a", "salt", prompt, 1.0) == 2000
     other = make_prompt("others", "shop", "own")
-    assert holdings.count_tokens("a", "salt", other, 1.0) == 0
-    assert holdings.count_tokens("a", "other salt", prompt, 1.0) == 0
-    assert holdings.count_tokens("a", "salt", prompt, ENTRY_TTL_SECONDS + 1) == 0
-    holdings.expire(ENTRY_TTL_SECONDS + 1)
-    assert not holdings._used_at
+    assert cache_index.count_tokens("a", "salt", other, 1.0) == 0
+    assert cache_index.count_tokens("a", "other salt", prompt, 1.0) == 0
+    assert cache_index.count_tokens("a", "salt", prompt, ENTRY_TTL_SECONDS + 1) == 0
+    cache_index.expire(ENTRY_TTL_SECONDS + 1)
+    assert not cache_index._used_at
 
 
 def test_cache_entry_is_reported_to_peers_once_per_interval() -> None:
-    holdings = CacheIndex()
+    cache_index = CacheIndex()
     prompt = make_prompt("rules", "shop", "own")
-    assert len(holdings.note_read("a", "salt", prompt, 0.0)) == 2
-    assert holdings.note_read("a", "salt", prompt, 0.5) == []
-    assert len(holdings.note_read("a", "salt", prompt, RESEND_SECONDS + 0.1)) == 2
+    assert len(cache_index.note_read("a", "salt", prompt, 0.0)) == 2
+    assert cache_index.note_read("a", "salt", prompt, 0.5) == []
+    assert len(cache_index.note_read("a", "salt", prompt, RESEND_SECONDS + 0.1)) == 2
 
 
 def make_stores(*parts: str) -> StoreContents:
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -76,10 +76,10 @@
         await trio.sleep(8.0)
         fleet.start_instances(6)
         await trio.sleep(2.0)
-        ended = len(fleet.crashed_at)
+        crashes = len(fleet.crashed_at)
         await trio.sleep(20.0)
         nursery.cancel_scope.cancel()
-    assert len(fleet.crashed_at) == ended
+    assert len(fleet.crashed_at) == crashes
 
 
 async def test_partitioned_instances_quarantine_a_request_once_reconnected(
--- a/tests/test_requests_that_crash_servers.py
+++ b/tests/test_requests_that_crash_servers.py
@@ -52,13 +52,13 @@
         # The stored crashes are read a second after the start.
         await trio.sleep(2.0)
         world.results.clear()
-        ended.append(len(world.crashes))
+        crash_counts.append(len(world.crashes))
         await send(6)
 
-    ended: list[int] = []
+    crash_counts: list[int] = []
     await world.run(play)
-    assert ended[0] >= CRASHES
-    assert len(world.crashes) == ended[0]
+    assert crash_counts[0] >= CRASHES
+    assert len(world.crashes) == crash_counts[0]
     assert {result.status for result in world.results} == {400}
 
 
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -33,31 +33,31 @@
     return Directive(limit=RATE) if is_limited else NO_DIRECTIVE
 
 
-@pytest.mark.parametrize("ends", [None, 0, 5])
+@pytest.mark.parametrize("restarted", [None, 0, 5])
 async def test_all_instances_together_keep_to_a_servers_rate_limit(
-    ends: int | None, tmp_path: Path
+    restarted: int | None, tmp_path: Path
 ) -> None:
     """The limit holds while an instance restarts, and no call fails because of it."""
     world = DirectiveWorld(tmp_path, INSTANCES, SERVERS, name_limit)
 
-    async def end() -> None:
-        assert ends is not None
+    async def restart() -> None:
+        assert restarted is not None
         await trio.sleep(PLAY_SECONDS / 2)
-        await world.instances[ends].stop(signal.SIGKILL)
-        world.instances[ends].start()
+        await world.instances[restarted].stop(signal.SIGKILL)
+        world.instances[restarted].start()
 
     async def play() -> None:
         await world.send_requests(
-            PER_SECOND, PLAY_SECONDS, side_task=None if ends is None else end
+            PER_SECOND, PLAY_SECONDS, side_task=None if restarted is None else restart
         )
 
     await world.run(play)
     limited = group_by_server(world.received)[LIMITED]
     until = world.started_at + LIFTED_AT
-    if ends is not None:
-        limited = [request for request in limited if request.instance != ends]
+    if restarted is not None:
+        limited = [request for request in limited if request.instance != restarted]
     assert count_fullest_window(limited, world.directives, until) <= BOUND
-    if ends is None:
+    if restarted is None:
         assert {result.status for result in world.results} == {200}
     # Once the limit is lifted, the server gets its share of the requests again.
     assert sum(1 for request in limited if request.at > until + 1.0) > 4 * RATE * 3
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -82,7 +82,7 @@
     return gateway
 
 
-def assert_forgotten(gateway: Gateway) -> ServerState:
+def assert_reset(gateway: Gateway) -> ServerState:
     state = gateway.table.by_id["a"]
     assert state.load == Load()
     assert gateway.table.sum_load("a", 0.1) == Load()
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "told", "order"),
+    ("known", "received", "order"),
     [
         (None, None, StartOrder.SAME),
         (5, None, StartOrder.SAME),
@@ -108,9 +108,9 @@
     ],
 )
 def test_starts_compare_by_their_time(
-    known: int | None, told: int | None, order: StartOrder
+    known: int | None, received: int | None, order: StartOrder
 ) -> None:
-    assert compare_starts(known, told) is order
+    assert compare_starts(known, received) is order
 
 
 def test_row_and_report_contain_the_start() -> None:
@@ -125,7 +125,7 @@
     gateway = make_used_gateway()
     idle = gateway.pool._idle[gateway.table.by_id["a"].owner][0]
     gateway.table.update(make_server("a", started_ms=2000, weights={MODEL: 1}), 0.0)
-    assert assert_forgotten(gateway).weights == {MODEL: 1}
+    assert assert_reset(gateway).weights == {MODEL: 1}
     assert idle.is_closed  # type: ignore[attr-defined]
 
 
@@ -133,13 +133,13 @@
     gateway = make_used_gateway()
     order = gateway.table.note_start("a", 2000, 0.0, {MODEL: 2})
     assert order is StartOrder.NEWER
-    assert assert_forgotten(gateway).weights == {MODEL: 2}
+    assert assert_reset(gateway).weights == {MODEL: 2}
 
 
 async def test_a_new_start_seen_first_by_a_peer() -> None:
     gateway = make_used_gateway()
     gateway.server_updates.on_notice(ServerNotice("a", MODEL, 2, 0.0, born=2000))
-    assert assert_forgotten(gateway).weights == {MODEL: 2}
+    assert assert_reset(gateway).weights == {MODEL: 2}
 
 
 async def test_new_start_seen_first_in_a_cache_entry() -> None:
@@ -163,7 +163,7 @@
     gateway.table.update(make_server("a", started_ms=1000, weights={MODEL: 9}), 0.0)
     assert gateway.table.note_start("a", 1000, 0.0, {MODEL: 9}) is StartOrder.OLDER
     assert gateway.table.by_id["a"] is state
-    assert assert_forgotten(gateway).weights == {MODEL: 1}
+    assert assert_reset(gateway).weights == {MODEL: 1}
 
 
 async def test_two_starts_within_a_heartbeat_reported_out_of_order() -> None:
@@ -210,13 +210,13 @@
     gateway = make_gateway()
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
     demand = Demand("reader", MODEL, PROMPT, "wall")
-    place = await gateway.slot_queue.reserve(demand, 0, trio.current_time())
-    assert place is not None
+    reservation = await gateway.slot_queue.reserve(demand, 0, trio.current_time())
+    assert reservation is not None
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
-    place = gateway.slot_queue.note_prompt_read(place)
-    gateway.server_updates.note_cached_prompt(place.state, SALT, PROMPT)
-    gateway.slot_queue.release(place)
+    reservation = gateway.slot_queue.note_prompt_read(reservation)
+    gateway.server_updates.note_cached_prompt(reservation.state, SALT, PROMPT)
+    gateway.slot_queue.release(reservation)
     assert state.load == Load()
     assert not gateway.cache_index.count_tokens_by_server(
         SALT, PROMPT, trio.current_time()
@@ -338,7 +338,7 @@
         self.weights = {0: 1}
         self.restarts = 0
 
-    def on_new_start(self, ended: ServerState, state: ServerState) -> None:
+    def on_new_start(self, previous: ServerState, state: ServerState) -> None:
         self.restarts += 1
 
     @rule(older=st.integers(0, 1))
@@ -381,15 +381,15 @@
 
     @invariant()
     def weights_are_of_the_newest_reported_start(self) -> None:
-        believed = self.table.by_id["a"].weights[MODEL]
-        assert believed <= max(self.weights[self.newest_reported], 1)
+        known = self.table.by_id["a"].weights[MODEL]
+        assert known <= max(self.weights[self.newest_reported], 1)
 
 
 TestStarts = StartsMachine.TestCase
 
 
-def treat_all_as_newer(known: int | None, told: int | None) -> StartOrder:
-    return StartOrder.SAME if known == told else StartOrder.NEWER
+def treat_all_as_newer(known: int | None, received: int | None) -> StartOrder:
+    return StartOrder.SAME if known == received else StartOrder.NEWER
 
 
 def update_without_comparing(
@@ -406,7 +406,7 @@
         "all starts compare as the same",
         directory,
         "compare_starts",
-        lambda known, told: StartOrder.SAME,
+        lambda known, received: StartOrder.SAME,
     ),
     Mutant(
         "late messages about an older start count",
