--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -53,7 +53,7 @@
     """An attempt in progress: its server, its id and its entry in the server's load."""
 
     placement: Placement
-    name: str
+    id: str
     in_flight: InFlight
 
 
@@ -66,7 +66,7 @@
         configuration: ConfigurationController,
         engines: EnginesController,
         claims: ClaimsController,
-        place: PlacementPolicy,
+        choose_placement: PlacementPolicy,
         metrics: Metrics,
         rng: random.Random,
         client: httpx.AsyncClient,
@@ -77,7 +77,7 @@
         self._configuration = configuration
         self._engines = engines
         self._claims = claims
-        self._place = place
+        self._choose_placement = choose_placement
         self._metrics = metrics
         self._rng = rng
         self._budgets: dict[str, RetryBudget] = {}
@@ -96,17 +96,17 @@
         assert call.service is not None
         budget = self._find_budget(call)
         budget.note_first_attempt()
-        skip: set[str] = set()
+        skipped: set[str] = set()
         attempts = 0
         while True:
-            placement = self._place(call, skip)
+            placement = self._choose_placement(call, skipped)
             if placement is None:
                 return self._refuse(call, "no backend server is available")
             attempts += 1
             outcome = await self._attempt(call, placement)
             if isinstance(outcome, Reply):
                 return outcome
-            skip.add(placement.server)
+            skipped.add(placement.server)
             decision = decide_retry(
                 outcome,
                 repeatable=call.repeatable,
@@ -200,7 +200,7 @@
             call.query,
             call.headers,
             call.body,
-            attempt.name,
+            attempt.id,
             call.service.answer_seconds,
         )
         client = self._client if call.repeatable else self._single_use_client
@@ -237,7 +237,7 @@
         request = EngineRequest(
             path=PATHS[call.kind],
             body=call.body,
-            attempt=attempt.name,
+            attempt=attempt.id,
             cache_salt=placement.cache_salt,
             weights=placement.weights,
             rank=rank,
@@ -293,8 +293,8 @@
     def _make_headers(
         self, call: Call, attempt: _Attempt, answer: EngineAnswer
     ) -> dict[str, str]:
-        kind = answer.response.headers.get("Content-Type", "application/json")
-        headers = {"Content-Type": kind, ATTEMPT_HEADER: attempt.name}
+        content_type = answer.response.headers.get("Content-Type", "application/json")
+        headers = {"Content-Type": content_type, ATTEMPT_HEADER: attempt.id}
         if call.streamed and answer.stream:
             token = StreamToken(
                 attempt.placement.server,
@@ -337,7 +337,7 @@
     async def _continue_elsewhere(
         self, call: Call, attempt: _Attempt, after: int
     ) -> EngineAnswer | None:
-        placement = self._place(call, {attempt.placement.server})
+        placement = self._choose_placement(call, {attempt.placement.server})
         if placement is None or placement.server == attempt.placement.server:
             return None
         if placement.weights != attempt.placement.weights:
--- a/ashpond/filters/placement.py
+++ b/ashpond/filters/placement.py
@@ -61,8 +61,8 @@
         SAMPLED_PRESUMED_HOME_SHARE if is_sampled else PRESUMED_HOME_SHARE
     )
 
-    def place(call: Call, skip: set[str]) -> Placement | None:
-        usable = engines.list_usable(call.service_name, skip)
+    def place(call: Call, skipped: set[str]) -> Placement | None:
+        usable = engines.list_usable(call.service_name, skipped)
         if not usable:
             return None
         chains = hash_for_weights(call, usable)
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -32,7 +32,7 @@
 from ashpond.gateway.connectionlog import ConnectionLog
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.dispatch import Dispatcher
-from ashpond.gateway.ingress import Ingress, IngressPorts
+from ashpond.gateway.ingress import Ingress, IngressAddresses
 from ashpond.gateway.metrics import GatewayMetrics
 from ashpond.gateway.ports import Platform
 from ashpond.gateway.replies import send_refusal
@@ -251,7 +251,7 @@
             log, self.metrics, lambda: self.ingress.open_calls, self.leave_event.is_set
         )
         self.ingress = Ingress(
-            IngressPorts(
+            IngressAddresses(
                 settings.callers_address,
                 settings.readiness_address,
                 settings.metrics_address,
--- a/ashpond/gateway/ingress.py
+++ b/ashpond/gateway/ingress.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-__all__ = ["CutBy", "CutCall", "Ingress", "IngressPorts"]
+__all__ = ["CutBy", "CutCall", "Ingress", "IngressAddresses"]
 
 from collections.abc import Awaitable, Callable
 from enum import StrEnum
@@ -37,7 +37,7 @@
     return b"/" + rest.partition(b"/")[2] if separator else target
 
 
-class IngressPorts(NamedTuple):
+class IngressAddresses(NamedTuple):
     """Addresses to listen on: for clients, readiness checks, metrics."""
 
     callers: str
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        ports: IngressPorts,
+        addresses: IngressAddresses,
         codec: Codec,
         handle: CallHandler,
         get_limits: Callable[[], IngressLimits],
@@ -99,9 +99,9 @@
         self._note_cut = note_cut
         # Where addresses are equal, the later entry replaces the earlier one.
         handlers = {
-            ports.readiness: self._serve_readiness,
-            ports.callers: self._serve_call,
-            ports.metrics: self._serve_operators,
+            addresses.readiness: self._serve_readiness,
+            addresses.callers: self._serve_call,
+            addresses.metrics: self._serve_operators,
         }
         self._listener = Listener(
             handlers,
--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -12,7 +12,7 @@
 from ashpond.decisions.declared import IngressLimits
 from ashpond.gateway import replies
 from ashpond.gateway.calls import IncomingCall, Reply
-from ashpond.gateway.ingress import Ingress, IngressPorts
+from ashpond.gateway.ingress import Ingress, IngressAddresses
 from ashpond_platform.headers import CODEC
 from tests.ports import find_free_port
 
@@ -102,7 +102,7 @@
         self.passed_on: set[str] = set()
         self.stop = trio.Event()
         self.clients: list[Client] = []
-        ports = IngressPorts(*[f"127.0.0.1:{find_free_port()}" for _ in range(3)])
+        ports = IngressAddresses(*[f"127.0.0.1:{find_free_port()}" for _ in range(3)])
         self.address = ports.callers
         self.ingress = Ingress(
             ports,
