--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -39,7 +39,7 @@
     build_engine_port,
     make_address,
 )
-from ashpond.gateway.callprogress import Tools
+from ashpond.gateway.callprogress import DispatchContext
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.dispatch import Dispatcher
 from ashpond.gateway.metrics import GatewayMetrics
@@ -120,7 +120,7 @@
     statements = ServerDirectives(
         table, log, lambda kind: None, around.announce, rng, permits.on_limit
     )
-    tools = Tools(
+    context = DispatchContext(
         places,
         around.pool,  # type: ignore[arg-type]
         build_codec(around.pool.memo),
@@ -142,7 +142,7 @@
         rng,
     )
     rollouts = _build_rollouts(number, around, table, knowledge, places, budget)
-    dispatcher = Dispatcher(tools)
+    dispatcher = Dispatcher(context)
     return EmulatedInstance(
         table, holdings, places, knowledge, statements, rollouts, dispatcher
     )
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -26,7 +26,7 @@
 from ashpond.decisions.quarantine import CrashRecords
 from ashpond.errors import SettingsError
 from ashpond.gateway.admission import admit_call
-from ashpond.gateway.callprogress import Tools, identify_call
+from ashpond.gateway.callprogress import DispatchContext, compute_fingerprint
 from ashpond.gateway.calls import IncomingCall, Reply
 from ashpond.gateway.cleanup import run_cleanup
 from ashpond.gateway.connectionlog import ConnectionLog
@@ -225,7 +225,7 @@
             self._has_service,
         )
         self.dispatcher = Dispatcher(
-            Tools(
+            DispatchContext(
                 self.slot_queue,
                 pool,
                 platform.codec,
@@ -235,7 +235,7 @@
                 self.retry_budgets.get,
                 self.members.count,
                 self.server_updates.note_cached_prompt,
-                lambda call, team: identify_call(self.members.secret, call, team),
+                lambda call, team: compute_fingerprint(self.members.secret, call, team),
                 self.crash_detector,
                 self.directives,
                 self.quarantine,
--- a/ashpond/gateway/attempts.py
+++ b/ashpond/gateway/attempts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Sender"]
+__all__ = ["Attempt"]
 
 import trio
 
@@ -18,12 +18,12 @@
 from ashpond.decisions.selection import describe_candidate, describe_demand
 from ashpond.gateway.callprogress import (
     Answer,
+    AttemptFailed,
+    AttemptNotRun,
+    AttemptOutcome,
     CallProgress,
     Delivered,
-    Failed,
-    SendOutcome,
-    Tools,
-    Unrun,
+    DispatchContext,
 )
 from ashpond.gateway.calls import AnswerMarks, Instructions
 from ashpond.gateway.reservations import Reservation
@@ -32,54 +32,60 @@
 MISDIRECTED = 421
 SERVER_ERROR = 500
 # An idempotent request goes elsewhere after a silence of so many objectives.
-SILENCE_OBJECTIVES = 1.2
-LEAST_SILENCE_SECONDS = 0.1
+ANSWER_TIMEOUT_OBJECTIVES = 1.2
+MIN_ANSWER_TIMEOUT_SECONDS = 0.1
 MAX_ANSWER_BYTES = 16 << 20
-SILENT = "silent"
+NO_ANSWER = "silent"
 
 
-class Sender:
+class Attempt:
     """Sends a call, to one server at a time."""
 
-    def __init__(self, tools: Tools, call: CallProgress, reservation: Reservation):
-        self.tools = tools
+    def __init__(
+        self, context: DispatchContext, call: CallProgress, reservation: Reservation
+    ):
+        self.context = context
         self.call = call
         self._reservation = reservation
         self._sent_at = trio.current_time()
 
-    async def send(self) -> SendOutcome:
+    async def run(self) -> AttemptOutcome:
         """Send the call to the server of its place, which is given back."""
         try:
-            return await self._send(self._reservation.state)
+            return await self._run(self._reservation.state)
         finally:
-            self.tools.places.release(self._reservation)
+            self.context.reservations.release(self._reservation)
 
-    async def _send(self, state: ServerState) -> SendOutcome:
-        self.call.sends += 1
-        self._note_sent()
+    async def _run(self, state: ServerState) -> AttemptOutcome:
+        self.call.attempts += 1
+        self._log_sent()
         channel: Channel | None = None
-        is_whole = False
+        is_complete = False
         try:
-            with trio.move_on_after(self._choose_silence()) as silence:
-                channel = await self.tools.pool.acquire(state.owner, state.info.address)
-                bar = self._find_bar(state)
-                if bar is not None:
-                    return Unrun(bar)
-                outcome = await self._exchange(channel, silence)
-                is_whole = not isinstance(outcome, Failed)
+            with trio.move_on_after(self._choose_answer_timeout()) as timeout:
+                channel = await self.context.pool.acquire(
+                    state.owner, state.info.address
+                )
+                obstacle = self._find_obstacle(state)
+                if obstacle is not None:
+                    return AttemptNotRun(obstacle)
+                outcome = await self._exchange(channel, timeout)
+                is_complete = not isinstance(outcome, AttemptFailed)
                 return outcome
-            return self._note_failed(SILENT, is_sent=channel is not None)
+            return self._handle_failure(NO_ANSWER, is_sent=channel is not None)
         except ChannelError as error:
             if error.is_refused:
-                self.tools.ends.note_crash(state.watched, CrashEvidence.REFUSED)
-            return self._note_failed(str(error), is_sent=error.is_sent)
+                self.context.crash_detector.note_crash(
+                    state.watched, CrashEvidence.REFUSED
+                )
+            return self._handle_failure(str(error), is_sent=error.is_sent)
         finally:
-            if channel is not None and is_whole:
-                self.tools.pool.release(state.owner, channel)
+            if channel is not None and is_complete:
+                self.context.pool.release(state.owner, channel)
             elif channel is not None:
                 channel.close()
 
-    def _find_bar(self, state: ServerState) -> str | None:
+    def _find_obstacle(self, state: ServerState) -> str | None:
         """Return why the request may not be sent to its server any more.
 
         What the server says of itself may have come while the request waited for a
@@ -98,8 +104,8 @@
         return None
 
     async def _exchange(
-        self, channel: Channel, silence: trio.CancelScope
-    ) -> SendOutcome:
+        self, channel: Channel, timeout: trio.CancelScope
+    ) -> AttemptOutcome:
         """Send the request and take its answer, or pass it on if it is a stream.
 
         :raises ChannelError: if the answer does not come whole.
@@ -109,8 +115,10 @@
         # From here on it counts as run, also if the deadline cuts in.
         self.call.runs += 1
         response = await channel.exchange(self._build_request())
-        marks = self.tools.codec.read_marks(response.headers)
-        self.tools.statements.apply_answer(state, response.status, marks, self._sent_at)
+        marks = self.context.codec.read_marks(response.headers)
+        self.context.directives.apply_answer(
+            state, response.status, marks, self._sent_at
+        )
         rejection = self._read_rejection(response, marks)
         if rejection is not None:
             self.call.runs -= 1
@@ -120,18 +128,18 @@
         if model and marks.weights_version is not None:
             state.update_weights(model, marks.weights_version)
         if self.call.route.kind is RouteKind.STREAM and response.status == OK:
-            silence.deadline = float("inf")
-            return await self._relay(response)
+            timeout.deadline = float("inf")
+            return await self._relay_stream(response)
         body = await response.read_all(MAX_ANSWER_BYTES)
         failed = response.status >= SERVER_ERROR
         state.note_answer(trio.current_time(), failed=failed)
         if not failed:
-            self.tools.quarantine.note_answered(self.call.fingerprint)
+            self.context.quarantine.note_answered(self.call.fingerprint)
         return Answer(response.status, response.headers, body)
 
-    def _note_sent(self) -> None:
+    def _log_sent(self) -> None:
         reservation = self._reservation
-        knowledge = self.tools.knowledge
+        knowledge = self.context.knowledge
         declaration = knowledge.declaration
         self.call.note(
             "sent",
@@ -150,35 +158,39 @@
             knowledge_age=round(knowledge.measure_age(trio.current_time()), 3),
         )
 
-    def _choose_silence(self) -> float:
+    def _choose_answer_timeout(self) -> float:
         if (
             not self.call.route.is_idempotent
             or self.call.runs + 1 >= self.call.route.max_attempts
         ):
             return float("inf")
-        silence = self.call.route.objective * SILENCE_OBJECTIVES
-        return max(LEAST_SILENCE_SECONDS, silence)
+        timeout = self.call.route.objective * ANSWER_TIMEOUT_OBJECTIVES
+        return max(MIN_ANSWER_TIMEOUT_SECONDS, timeout)
 
-    def _note_failed(self, reason: str, *, is_sent: bool) -> Unrun | Failed:
+    def _handle_failure(
+        self, reason: str, *, is_sent: bool
+    ) -> AttemptNotRun | AttemptFailed:
         state = self._reservation.state
         self.call.note(
             "send_failed", server=state.info.id, reason=reason, is_sent=is_sent
         )
         if not is_sent:
             pause = state.note_connect_failure(trio.current_time())
-            self.tools.announce_unreached(state, pause)
-            self.tools.pool.forget(state.owner)
-            return Unrun(reason)
+            self.context.announce_unreachable(state, pause)
+            self.context.pool.forget(state.owner)
+            return AttemptNotRun(reason)
         state.note_answer(trio.current_time(), failed=True)
-        self._note_broken(state, is_silent=reason == SILENT)
-        return Failed(reason)
+        self._report_incomplete(state, is_timeout=reason == NO_ANSWER)
+        return AttemptFailed(reason)
 
-    def _note_broken(self, state: ServerState, *, is_silent: bool = False) -> None:
-        self.tools.ends.note_failed_attempt(
+    def _report_incomplete(
+        self, state: ServerState, *, is_timeout: bool = False
+    ) -> None:
+        self.context.crash_detector.note_failed_attempt(
             state.watched,
             self.call.fingerprint,
             self._sent_at,
-            is_idle_timeout=is_silent,
+            is_idle_timeout=is_timeout,
         )
 
     def _build_request(self) -> Outgoing:
@@ -192,11 +204,11 @@
             salt=reservation.salt,
             weights_version=reservation.weights_version,
             urgency=accepted.urgency if self.call.demand.model else None,
-            resume_after=self.call.cutter.last_id,
+            resume_after=self.call.splitter.last_id,
             fetch_from=reservation.fetch_from,
             save_to=reservation.save_to,
         )
-        headers = self.tools.codec.write_headers(call.envelope, instructions)
+        headers = self.context.codec.write_headers(call.envelope, instructions)
         if call.body or call.method in ("POST", "PUT", "PATCH"):
             headers.append((b"Content-Length", str(len(call.body)).encode()))
         return Outgoing(
@@ -205,10 +217,12 @@
             headers,
             call.body,
             call.envelope.request_id,
-            self.tools.id_header,
+            self.context.id_header,
         )
 
-    def _read_rejection(self, response: Response, marks: AnswerMarks) -> Unrun | None:
+    def _read_rejection(
+        self, response: Response, marks: AnswerMarks
+    ) -> AttemptNotRun | None:
         """Return what an answer says that tells of a request that has not run."""
         if not marks.is_not_run and response.status != MISDIRECTED:
             return None
@@ -217,8 +231,8 @@
         now = trio.current_time()
         model = self.call.demand.model or ""
         if response.status == MISDIRECTED:
-            self._note_misdirected(state, marks, model, now)
-        elif state.weights.get(model, 0) < self.tools.knowledge.targets.get(model, 0):
+            self._handle_misdirected(state, marks, model, now)
+        elif state.weights.get(model, 0) < self.context.knowledge.targets.get(model, 0):
             state.exclude_for(LOADING_PAUSE_SECONDS, now)
         else:
             state.exclude_for(FULL_PAUSE_SECONDS, now)
@@ -229,9 +243,11 @@
             weights=marks.weights_version,
             asked=reservation.weights_version,
         )
-        return Unrun(f"the server answered {response.status} without running it")
+        return AttemptNotRun(
+            f"the server answered {response.status} without running it"
+        )
 
-    def _note_misdirected(
+    def _handle_misdirected(
         self, state: ServerState, marks: AnswerMarks, model: str, now: float
     ) -> None:
         """Note that another server is at the address, or has other weights.
@@ -239,31 +255,33 @@
         An answer that does not say which mostly means that the weights wanted have
         been loaded and the news of it are still on the way.
         """
-        target = self.tools.knowledge.targets.get(model, 0)
-        asked = self._reservation.weights_version or 0
+        target = self.context.knowledge.targets.get(model, 0)
+        asked_version = self._reservation.weights_version or 0
         if marks.server_id not in (None, state.info.id):
             state.is_misdirected = True
-            self.tools.ends.note_crash(state.watched, CrashEvidence.OTHER_SERVER)
+            self.context.crash_detector.note_crash(
+                state.watched, CrashEvidence.OTHER_SERVER
+            )
         elif marks.weights_version is not None:
             state.weights[model] = marks.weights_version
-        elif asked and state.weights.get(model, 0) == asked < target:
+        elif asked_version and state.weights.get(model, 0) == asked_version < target:
             state.weights[model] = target
         else:
             # Wrong as well: go by its entry again, after a pause.
             state.weights[model] = state.info.weights.get(model, 0)
             state.exclude_for(LOADING_PAUSE_SECONDS, now)
 
-    async def _relay(self, response: Response) -> SendOutcome:
+    async def _relay_stream(self, response: Response) -> AttemptOutcome:
         """Pass a stream on as it arrives, in whole events where it can go on."""
         state = self._reservation.state
         is_first = True
         try:
             while piece := await response.read():
                 if is_first:
-                    self._note_read()
+                    self._note_prompt_read()
                     is_first = False
                 data = (
-                    self.call.cutter.feed(piece)
+                    self.call.splitter.feed(piece)
                     if self.call.route.is_resumable
                     else piece
                 )
@@ -271,7 +289,7 @@
                     await self.call.start_reply(response.status, response.headers)
                     await self.call.reply.send(data)
         except ChannelError as error:
-            self.call.cutter.drop_remainder()
+            self.call.splitter.drop_remainder()
             now = trio.current_time()
             if state.is_usable(now):
                 # A server that is closed may have been told to cut its streams.
@@ -280,30 +298,32 @@
                 "stream_broken",
                 server=state.info.id,
                 reason=str(error),
-                last_event=self.call.cutter.last_id,
+                last_event=self.call.splitter.last_id,
             )
-            self._note_broken(state)
-            return Failed(str(error))
+            self._report_incomplete(state)
+            return AttemptFailed(str(error))
         state.note_answer(trio.current_time(), failed=False)
-        self.tools.quarantine.note_answered(self.call.fingerprint)
+        self.context.quarantine.note_answered(self.call.fingerprint)
         await self.call.start_reply(response.status, response.headers)
-        rest = self.call.cutter.take_remainder()
+        rest = self.call.splitter.take_remainder()
         if rest:
             await self.call.reply.send(rest)
-        self.call.is_ended = True
+        self.call.is_finished = True
         await self.call.reply.finish()
         self.call.note(
             "ended",
             status=response.status,
             server=state.info.id,
-            first_after=round(self.call.first_after or 0.0, 4),
+            first_after=round(self.call.seconds_to_first_byte or 0.0, 4),
         )
         return Delivered(response.status)
 
-    def _note_read(self) -> None:
+    def _note_prompt_read(self) -> None:
         """Note that the server has read the prompt, with the first event."""
-        self._reservation = self.tools.places.note_prompt_read(self._reservation)
+        self._reservation = self.context.reservations.note_prompt_read(
+            self._reservation
+        )
         prompt = self.call.request.envelope.prompt
         salt = self._reservation.salt
         if prompt is not None and salt is not None:
-            self.tools.note_held(self._reservation.state, salt, prompt)
+            self.context.note_cached(self._reservation.state, salt, prompt)
--- a/ashpond/gateway/callprogress.py
+++ b/ashpond/gateway/callprogress.py
@@ -4,13 +4,13 @@
 
 __all__ = [
     "Answer",
+    "AttemptFailed",
+    "AttemptNotRun",
+    "AttemptOutcome",
     "CallProgress",
     "Delivered",
-    "Failed",
-    "SendOutcome",
-    "Tools",
-    "Unrun",
-    "identify_call",
+    "DispatchContext",
+    "compute_fingerprint",
 ]
 
 import random
@@ -47,10 +47,10 @@
 TakePermit = Callable[[ServerState, int], Awaitable[bool]]
 
 
-class Tools(NamedTuple):
+class DispatchContext(NamedTuple):
     """What the dispatcher works with."""
 
-    places: ReservationQueue
+    reservations: ReservationQueue
     pool: ChannelPool
     codec: Codec
     id_header: bytes
@@ -58,20 +58,22 @@
     log: DecisionLog
     get_budget: Callable[[str], FleetRetryBudget]
     count_instances: Callable[[], int]
-    note_held: Callable[[ServerState, str, Prompt], None]
-    identify: Callable[[IncomingCall, Team | None], str | None]
-    ends: CrashDetector
-    statements: ServerDirectives
+    note_cached: Callable[[ServerState, str, Prompt], None]
+    compute_fingerprint: Callable[[IncomingCall, Team | None], str | None]
+    crash_detector: CrashDetector
+    directives: ServerDirectives
     quarantine: Quarantine
-    announce_unreached: Callable[[ServerState, float], None]
+    announce_unreachable: Callable[[ServerState, float], None]
     take_allowance: TakeAllowance
-    give_back_allowance: Callable[[AllowanceGrant], None]
+    refund_allowance: Callable[[AllowanceGrant], None]
     take_permit: TakePermit
     count_refusal: Callable[[str], None]
     rng: random.Random
 
 
-def identify_call(secret: str, call: IncomingCall, team: Team | None) -> str | None:
+def compute_fingerprint(
+    secret: str, call: IncomingCall, team: Team | None
+) -> str | None:
     """Return a request's fingerprint; None until instances share a secret."""
     if not secret:
         return None
@@ -81,13 +83,13 @@
     )
 
 
-class Unrun(NamedTuple):
+class AttemptNotRun(NamedTuple):
     """A send had no effect."""
 
     reason: str
 
 
-class Failed(NamedTuple):
+class AttemptFailed(NamedTuple):
     """A send may have run, and brought no whole answer."""
 
     reason: str
@@ -107,7 +109,7 @@
     status: int
 
 
-SendOutcome = Unrun | Failed | Answer | Delivered
+AttemptOutcome = AttemptNotRun | AttemptFailed | Answer | Delivered
 
 
 class CallProgress:
@@ -120,7 +122,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        context: DispatchContext,
         call: IncomingCall,
         accepted: Accepted,
         reply: Reply,
@@ -128,22 +130,22 @@
         self.request = call
         self.accepted = accepted
         self.reply = reply
-        self.fingerprint = tools.identify(call, accepted.team)
-        self.sends = 0
+        self.fingerprint = context.compute_fingerprint(call, accepted.team)
+        self.attempts = 0
         self.runs = 0
         self.is_started = False
-        self.is_ended = False
-        self.first_after: float | None = None
-        self.cutter = EventSplitter(call.envelope.resume_after)
+        self.is_finished = False
+        self.seconds_to_first_byte: float | None = None
+        self.splitter = EventSplitter(call.envelope.resume_after)
         prompt = call.envelope.prompt
         self.demand = Demand(
-            pick_service(accepted.route, tools.rng),
+            pick_service(accepted.route, context.rng),
             prompt.model if prompt else None,
             prompt,
             accepted.wall,
             is_resumable=accepted.route.is_resumable,
         )
-        self._log = tools.log
+        self._log = context.log
 
     @property
     def route(self) -> Route:
@@ -162,7 +164,7 @@
             id=self.request.envelope.request_id,
             route=self.route.name,
             after=round(trio.current_time() - self.request.received_at, 4),
-            sends=self.sends,
+            sends=self.attempts,
             runs=self.runs,
             **fields,
         )
@@ -171,5 +173,5 @@
         """Send the head to the client, unless it was sent before."""
         if not self.is_started:
             self.is_started = True
-            self.first_after = trio.current_time() - self.request.received_at
+            self.seconds_to_first_byte = trio.current_time() - self.request.received_at
             await self.reply.start(status, drop_connection_headers(headers))
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -19,7 +19,7 @@
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.gateway.admission import admit_call
-from ashpond.gateway.callprogress import Tools
+from ashpond.gateway.callprogress import DispatchContext
 from ashpond.gateway.calls import IncomingCall
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.dispatch import Dispatcher
@@ -142,7 +142,7 @@
         self.knowledge.adopt(make_declaration(route))
         budget = FleetRetryBudget(0.2, 50.0, 10.0, started_at=-60.0)
         self.dispatcher = Dispatcher(
-            Tools(
+            DispatchContext(
                 make_reservations(self.table),
                 pool,  # type: ignore[arg-type]
                 CODEC,
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -22,7 +22,7 @@
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.loads import Load
 from ashpond.gateway.admission import admit_call
-from ashpond.gateway.callprogress import Tools
+from ashpond.gateway.callprogress import DispatchContext
 from ashpond.gateway.calls import Headers
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.dispatch import Dispatcher
@@ -181,7 +181,7 @@
         pools.append(pool)
     log = DecisionLog("test")
     budget = FleetRetryBudget(0.0, slack, 10.0, started_at=now - 60)
-    tools = Tools(
+    context = DispatchContext(
         make_reservations(table),
         pool,  # type: ignore[arg-type]
         CODEC,
@@ -207,7 +207,7 @@
     call = make_call(received_at=now, **call_changes)
     accepted = admit_call(call, knowledge, 5.0, now)
     reply = reply or RecordedReply()
-    await Dispatcher(tools).dispatch(call, accepted, reply)
+    await Dispatcher(context).dispatch(call, accepted, reply)
     assert all(state.load == Load() for state in table.by_id.values())
     return Bench(pool, reply, table, log)
 
