--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -67,7 +67,7 @@
         self._cache_index.remove_server(server_id)
         self._pool.forget(previous.owner)
         self._crash_detector.note_crash(previous.watched, CrashEvidence.NEW_START)
-        self._get_rollouts().forget_start(server_id)
+        self._get_rollouts().reset_server(server_id)
         self._log.note(
             "server_started_anew",
             server=server_id,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -136,7 +136,7 @@
         servers = [make_server(f"s{n}") for n in range(engines)]
         self.engines = Engines(servers)
         self.store = MemoryStore()
-        self.repeats_left = 100.0
+        self.retries_left = 100.0
         self.tables: list[ServerTable] = []
         self.controllers: list[RolloutController] = []
         self.knowledge: list[Knowledge] = []
@@ -158,7 +158,7 @@
                     lambda: names,
                     self.announce,
                     lambda: None,
-                    lambda service: self.repeats_left,
+                    lambda service: self.retries_left,
                     LEASE_SECONDS,
                 )
             )
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -10,9 +10,9 @@
 from ashpond.decisions.loadingslots import MANY_LOADING_SHARE
 from ashpond.decisions.loads import Load
 from ashpond.gateway.rollouts import (
-    BOUND_SECONDS,
-    TICK_SECONDS,
-    WATCH_SECONDS,
+    BOUND_WAIT_SECONDS,
+    HOLDER_CHECK_SECONDS,
+    STANDBY_CHECK_SECONDS,
 )
 from ashpond.news.items import ServerNotice
 from tests.fleet import Fleet, run_until_current
@@ -28,7 +28,7 @@
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         fleet.name_version(2)
-        await trio.sleep(2 * BOUND_SECONDS)
+        await trio.sleep(2 * BOUND_WAIT_SECONDS)
         assert not fleet.engines.orders
         state.load = Load(4, bound=0)
         await trio.sleep(0.2)
@@ -83,7 +83,7 @@
 ) -> None:
     """Grown Khangai scale-1: 735 answers were cut, of requests sent moments before."""
     fleet = Fleet(1, engines=1)
-    fleet.controllers[0]._measure_news_lag = lambda: 1.2
+    fleet.controllers[0]._measure_update_lag = lambda: 1.2
     state = fleet.tables[0].by_id["s0"]
     state.load = Load(4, bound=0)
     async with trio.open_nursery() as nursery:
@@ -108,11 +108,11 @@
     looks = dict.fromkeys(range(8), 0)
     for number, controller in enumerate(fleet.controllers):
 
-        def find(number: int = number, real: Any = controller._find_lagging) -> Any:
+        def find(number: int = number, real: Any = controller._find_outdated) -> Any:
             looks[number] += 1
             return real()
 
-        controller._find_lagging = find  # type: ignore[method-assign]
+        controller._find_outdated = find  # type: ignore[method-assign]
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         fleet.name_version(2)
@@ -120,5 +120,5 @@
         nursery.cancel_scope.cancel()
     holder = max(looks, key=lambda number: looks[number])
     assert fleet.list_holders() == [f"i{holder}"]
-    assert looks.pop(holder) >= 3.0 / TICK_SECONDS * 0.9
-    assert max(looks.values()) <= 3.0 / WATCH_SECONDS + 2
+    assert looks.pop(holder) >= 3.0 / HOLDER_CHECK_SECONDS * 0.9
+    assert max(looks.values()) <= 3.0 / STANDBY_CHECK_SECONDS + 2
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -158,7 +158,7 @@
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1, engines=1)
-    fleet.repeats_left = 20.0
+    fleet.retries_left = 20.0
     fleet.tables[0].by_id["s0"].load = Load(3, 0, 0, bound=0)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
