--- a/ashpond/gateway/decisionlog.py
+++ b/ashpond/gateway/decisionlog.py
@@ -21,7 +21,7 @@
 FLUSH_SECONDS = 0.1
 MAX_WRITE_BYTES = 60_000
 # Of a line that JSON cannot hold, so many characters are kept.
-MAX_ODD_LINE = 2000
+MAX_FALLBACK_CHARACTERS = 2000
 
 
 class DecisionLog:
@@ -32,8 +32,8 @@
         self.dropped: Counter[str] = Counter()
         self._descriptor = descriptor
         self._lines: deque[dict[str, Any]] = deque()
-        self._rest = b""
-        self._noted = trio.Event()
+        self._unwritten = b""
+        self._has_new_lines = trio.Event()
 
     def note(self, event: str, **fields: Any) -> None:
         """Queue one line; drop and count it if the queue is full."""
@@ -42,32 +42,32 @@
             return
         line = {"t": round(time.time(), 3), "instance": self.instance, "event": event}
         self._lines.append(line | fields)
-        self._noted.set()
+        self._has_new_lines.set()
 
     async def run(self) -> None:
         """Write lines until cancelled."""
         os.set_blocking(self._descriptor, False)
         while True:
-            await self._noted.wait()
+            await self._has_new_lines.wait()
             await trio.sleep(FLUSH_SECONDS)
-            self._noted = trio.Event()
+            self._has_new_lines = trio.Event()
             self.flush()
-            if self._rest or self._lines:
-                self._noted.set()
+            if self._unwritten or self._lines:
+                self._has_new_lines.set()
 
     def flush(self) -> None:
         """Write as much as the pipe takes now."""
-        while self._rest or self._lines or self.dropped:
-            if not self._rest:
-                self._rest = self._encode_some()
+        while self._unwritten or self._lines or self.dropped:
+            if not self._unwritten:
+                self._unwritten = self._encode_batch()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except OSError:
                 # A full or closed pipe: the lines stay, later ones are counted.
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
-    def _encode_some(self) -> bytes:
+    def _encode_batch(self) -> bytes:
         if self.dropped and len(self._lines) < MAX_QUEUED:
             counts = dict(self.dropped)
             self.dropped.clear()
@@ -86,5 +86,5 @@
         return orjson.dumps(line, default=str) + b"\n"
     except TypeError:
         # A number of more than 64 bits, or a text that is no Unicode: as text.
-        text = ascii(line)[:MAX_ODD_LINE]
+        text = ascii(line)[:MAX_FALLBACK_CHARACTERS]
         return orjson.dumps({"event": line["event"], "line": text}) + b"\n"
--- a/ashpond/gateway/explanations.py
+++ b/ashpond/gateway/explanations.py
@@ -19,14 +19,14 @@
 
 Line = dict[str, Any]
 # What the end of a request's story says of its cause, by event.
-ENDINGS = {
+OUTCOMES = {
     "ended": "the answer of a backend server was passed on whole",
     "refused": "the router refused it",
     "broken_off": "the answer was broken off, so that the client sees it",
 }
-HIDDEN = ("t", "instance", "event", "id", "candidates", "demand", "places")
+HIDDEN_FIELDS = ("t", "instance", "event", "id", "candidates", "demand", "places")
 # What is believed of a request as such, whatever the ids under which it came.
-CASE_EVENTS = (
+QUARANTINE_EVENTS = (
     "request_suspected",
     "request_held",
     "request_contested",
@@ -62,26 +62,26 @@
     If servers have ended under it, what is known of that stands before the cause: also
     from other instances, and of the same request under other ids.
     """
-    own = []
-    others = []
+    own_lines = []
+    quarantine_lines = []
     for line in lines:
         if line.get("id") == request_id:
-            own.append(line)
-        if line["event"] in CASE_EVENTS or _lists_lost(line) or _is_refusal(line):
-            others.append(line)
-    own.sort(key=_get_time)
-    story = [_describe(line) for line in own]
-    if own:
-        story += _describe_case(others, _find_fingerprint(own))
-        story.append(_conclude(own))
-    return story
+            own_lines.append(line)
+        if line["event"] in QUARANTINE_EVENTS or _is_crash(line) or _is_refusal(line):
+            quarantine_lines.append(line)
+    own_lines.sort(key=_get_time)
+    history = [_describe(line) for line in own_lines]
+    if own_lines:
+        history += _describe_crashes(quarantine_lines, _find_fingerprint(own_lines))
+        history.append(_summarize(own_lines))
+    return history
 
 
 def _get_time(line: Line) -> float:
     return line.get("t", 0)
 
 
-def _lists_lost(line: Line) -> bool:
+def _is_crash(line: Line) -> bool:
     return line["event"] == "server_ended"
 
 
@@ -89,60 +89,62 @@
     return line["event"] == "refused" and line.get("status") == QUARANTINED_STATUS
 
 
-def _find_fingerprint(own: Iterable[Line]) -> str | None:
-    return next((line["fingerprint"] for line in own if line.get("fingerprint")), None)
+def _find_fingerprint(own_lines: Iterable[Line]) -> str | None:
+    return next(
+        (line["fingerprint"] for line in own_lines if line.get("fingerprint")), None
+    )
 
 
-def _describe_case(lines: Iterable[Line], fingerprint: str | None) -> list[str]:
+def _describe_crashes(lines: Iterable[Line], fingerprint: str | None) -> list[str]:
     """Return which servers ended under a request, who told of it, and what followed."""
     if fingerprint is None:
         return []
-    story = []
+    history = []
     refused = 0
     for line in sorted(lines, key=_get_time):
-        if _lists_lost(line) and fingerprint in line.get("in_flight", ()):
+        if _is_crash(line) and fingerprint in line.get("in_flight", ()):
             count = len(line["in_flight"])
-            story.append(
+            history.append(
                 f"   {line['instance']} saw {line['server']} end ({line['evidence']}) "
                 f"with it and {count - 1} others in flight"
             )
         elif line.get("fingerprint") != fingerprint:
             continue
-        elif line["event"] in CASE_EVENTS:
+        elif line["event"] in QUARANTINE_EVENTS:
             fields = {k: line.get(k) for k in ("servers", "told_by", "reason")}
-            told = " ".join(f"{k}={v}" for k, v in fields.items() if v)
-            story.append(f"   {line['instance']} {line['event']} {told}")
+            details = " ".join(f"{k}={v}" for k, v in fields.items() if v)
+            history.append(f"   {line['instance']} {line['event']} {details}")
         else:
             refused += 1
-    if story:
-        story.insert(0, f"=> servers have ended under this request ({fingerprint}):")
-        story.append(f"   refused since: {refused}")
-    return story
+    if history:
+        history.insert(0, f"=> servers have ended under this request ({fingerprint}):")
+        history.append(f"   refused since: {refused}")
+    return history
 
 
 def _describe(line: Line) -> str:
     after = line.get("after")
-    when = f"+{after * 1000:7.1f} ms" if after is not None else " " * 11
+    offset = f"+{after * 1000:7.1f} ms" if after is not None else " " * 11
     fields = " ".join(
         f"{key}={value}"
         for key, value in line.items()
-        if key not in HIDDEN and key != "after" and value is not None
+        if key not in HIDDEN_FIELDS and key != "after" and value is not None
     )
-    return f"{when}  {line.get('instance', '')}  {line['event']:14} {fields}"
+    return f"{offset}  {line.get('instance', '')}  {line['event']:14} {fields}"
 
 
-def _conclude(own: list[Line]) -> str:
-    last = own[-1]
-    ending = ENDINGS.get(last["event"], "no end is recorded; it may be gone")
+def _summarize(own_lines: list[Line]) -> str:
+    last = own_lines[-1]
+    outcome = OUTCOMES.get(last["event"], "no end is recorded; it may be gone")
     reasons = [
         f"{line['event']} at {line['server']}: {line.get('reason', line.get('status'))}"
-        for line in own
+        for line in own_lines
         if line["event"] in ("send_failed", "not_run_there", "stream_broken")
     ]
     if last.get("reason"):
         reasons.append(str(last["reason"]))
     cause = "; ".join(reasons) if reasons else "nothing failed on the way"
-    return f"=> {ending} (status {last.get('status')}): {cause}"
+    return f"=> {outcome} (status {last.get('status')}): {cause}"
 
 
 class ReplayResult(NamedTuple):
@@ -169,11 +171,13 @@
         if chosen is None:
             changed.append((line["id"], line["server"], "none"))
             continue
-        then = next((c for c in candidates if c.id == line["server"]), None)
-        if then is None:
+        logged = next((c for c in candidates if c.id == line["server"]), None)
+        if logged is None:
             changed.append((line["id"], line["server"], chosen.id))
             continue
-        worse = estimate_seconds(then, demand) - estimate_seconds(chosen, demand)
-        if worse > TIE_SECONDS:
+        excess_seconds = estimate_seconds(logged, demand) - estimate_seconds(
+            chosen, demand
+        )
+        if excess_seconds > TIE_SECONDS:
             changed.append((line["id"], line["server"], chosen.id))
     return ReplayResult(count, changed)
--- a/tests/test_decisionlog.py
+++ b/tests/test_decisionlog.py
@@ -14,7 +14,7 @@
     """Write out all of a log and return its lines."""
     data = b""
     log.flush()
-    while log._lines or log._rest:
+    while log._lines or log._unwritten:
         data += os.read(reader, 1 << 20)
         log.flush()
     data += os.read(reader, 1 << 20)
