--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -156,7 +156,7 @@
     )
 
 
-def make_end(
+def make_crash(
     server_id: str = "s1", at: float = 1000.0, **changes: object
 ) -> ServerCrash:
     """Return an end at a time of the store's clock, of a request that took 50 ms."""
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -298,7 +298,7 @@
         accepted = admit_call(call, instance.knowledge, 5.0, now)
         reply = RecordedReply()
         await instance.dispatcher.dispatch(call, accepted, reply)  # type: ignore[arg-type]
-        self.results.append(ClientResult(now, body, reply.status, reply.is_whole))
+        self.results.append(ClientResult(now, body, reply.status, reply.is_complete))
 
     async def ask_repeatedly(
         self, body: bytes, gap: float, timeout: float = 4.0
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -39,7 +39,7 @@
 )
 
 BROKEN = ChannelError("reset", is_sent=True)
-UNREACHED = ChannelError("refused", is_sent=False)
+UNREACHABLE = ChannelError("refused", is_sent=False)
 
 
 class Answer(NamedTuple):
@@ -83,9 +83,9 @@
         self.closed = 0
 
     async def acquire(self, owner: str, address: str) -> ScriptedChannel:
-        if self.script and self.script[0] is UNREACHED:
+        if self.script and self.script[0] is UNREACHABLE:
             self.script.pop(0)
-            raise UNREACHED
+            raise UNREACHABLE
         # The owner names a start of a server, the id first.
         return ScriptedChannel(self, owner.partition(" ")[0])
 
@@ -124,9 +124,9 @@
         self.status: int | None = None
         self.headers: Headers = []
         self.body = io.BytesIO()
-        self.is_whole = False
+        self.is_complete = False
         self.is_aborted = False
-        self.ended_at = 0.0
+        self.finished_at = 0.0
 
     async def start(self, status: int, headers: Headers) -> None:
         assert self.status is None, "a second head"
@@ -134,22 +134,22 @@
         self.headers = headers
 
     async def send(self, data: bytes) -> None:
-        assert self.status is not None and not self.is_whole
+        assert self.status is not None and not self.is_complete
         self.body.write(data)
 
     async def finish(self) -> None:
-        self.is_whole = True
-        self.ended_at = trio.current_time()
+        self.is_complete = True
+        self.finished_at = trio.current_time()
 
     async def abort(self) -> None:
         self.is_aborted = True
-        self.ended_at = trio.current_time()
+        self.finished_at = trio.current_time()
 
     def get(self, name: bytes) -> bytes | None:
         return dict(self.headers).get(name)
 
 
-class Bench(NamedTuple):
+class CallResult(NamedTuple):
     pool: ScriptedPool
     reply: RecordedReply
     table: ServerTable
@@ -166,7 +166,7 @@
     reply: RecordedReply | None = None,
     quarantine: Quarantine | None = None,
     **call_changes: Any,
-) -> Bench:
+) -> CallResult:
     declaration: Declaration = make_declaration(route or make_route())
     if table is None:
         table = make_table(make_server("a"), make_server("b"), make_server("c"))
@@ -209,7 +209,7 @@
     reply = reply or RecordedReply()
     await Dispatcher(context).dispatch(call, accepted, reply)
     assert all(state.load == Load() for state in table.by_id.values())
-    return Bench(pool, reply, table, log)
+    return CallResult(pool, reply, table, log)
 
 
 NON_IDEMPOTENT = make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1)
--- a/tests/test_decisionlog.py
+++ b/tests/test_decisionlog.py
@@ -21,7 +21,7 @@
     return [orjson.loads(line) for line in data.splitlines()]
 
 
-async def test_lines_are_written_and_dropped_ones_counted() -> None:
+async def test_lines_are_written_and_dropped_lines_are_counted() -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     log = DecisionLog("i1", writer)
@@ -36,7 +36,7 @@
     os.close(writer)
 
 
-async def test_a_full_pipe_is_never_waited_for() -> None:
+async def test_a_full_pipe_does_not_block_the_log() -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     log = DecisionLog("i1", writer)
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -53,28 +53,28 @@
     return "\n".join(orjson.dumps(line).decode() for line in lines)
 
 
-def test_lines_of_collectors_and_others_are_told_apart() -> None:
+def test_decision_lines_are_found_among_other_text() -> None:
     text = ["12.3 node-1 " + write_log(FAILED), "no line", '{"x": 1}', "{broken"]
     assert list(read_lines(text)) == [FAILED]
 
 
-def test_a_story_is_in_order_and_ends_with_its_cause() -> None:
+def test_a_request_history_is_in_order_and_ends_with_its_cause() -> None:
     other = {**FAILED, "id": "id-2"}
-    story = explain_request([REFUSED, other, FAILED, make_sent("a")], "id-1")
-    for line, event in zip(story, ("sent", "send_failed", "refused"), strict=False):
+    history = explain_request([REFUSED, other, FAILED, make_sent("a")], "id-1")
+    for line, event in zip(history, ("sent", "send_failed", "refused"), strict=False):
         assert event in line
-    assert len(story) == 4
-    assert "502" in story[-1]
-    assert "send_failed at a: reset" in story[-1]
+    assert len(history) == 4
+    assert "502" in history[-1]
+    assert "send_failed at a: reset" in history[-1]
 
 
-def test_choices_are_made_again() -> None:
+def test_logged_choices_are_replayed() -> None:
     result = replay_choices([make_sent("a"), make_sent("b", id="id-2")])
     assert result.choices == 2
     assert result.changed == [("id-2", "b", "a")]
 
 
-def test_the_commands() -> None:
+def test_the_explain_and_replay_commands() -> None:
     log = write_log(make_sent("a"), FAILED, REFUSED)
     shown = CliRunner().invoke(main, ["explain", "id-1"], input=log)
     assert shown.exit_code == 0
@@ -95,7 +95,7 @@
     assert CliRunner().invoke(main, ["gateway", "check", "/none"]).exit_code == 2
 
 
-def test_the_story_tells_which_servers_a_request_has_ended() -> None:
+def test_the_history_lists_the_servers_that_crashed_under_a_request() -> None:
     case = {"fingerprint": "f1", "t": 1.0}
     ended = {"t": 1.1, "event": "server_ended", "evidence": "refused"}
     lines = [
@@ -121,11 +121,11 @@
         },
         {**case, "event": "request_suspected", "fingerprint": "f2", "instance": "i0"},
     ]
-    story = "\n".join(explain_request(lines, "id-1"))
-    assert "servers have ended under this request (f1)" in story
-    assert "i0 saw a end (refused) with it and 1 others in flight" in story
-    assert "i3 saw b end (refused) with it and 0 others in flight" in story
-    assert "saw c end" not in story
-    assert "servers=['a', 'b'] told_by=['i3', 'own']" in story
-    assert "refused since: 1" in story
-    assert "request_suspected" not in story
+    history = "\n".join(explain_request(lines, "id-1"))
+    assert "servers have ended under this request (f1)" in history
+    assert "i0 saw a end (refused) with it and 1 others in flight" in history
+    assert "i3 saw b end (refused) with it and 0 others in flight" in history
+    assert "saw c end" not in history
+    assert "servers=['a', 'b'] told_by=['i3', 'own']" in history
+    assert "refused since: 1" in history
+    assert "request_suspected" not in history
--- a/tests/test_gateway_admission.py
+++ b/tests/test_gateway_admission.py
@@ -27,7 +27,7 @@
     return knowledge
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
+def test_the_longest_matching_prefix_wins() -> None:
     short = make_route(name="short", prefix="/a/")
     long = make_route(name="long", prefix="/a/b/")
     declaration = make_declaration(short, long)
@@ -37,7 +37,7 @@
     assert find_route(declaration, "other.example", "/a/b/c") is None
 
 
-def test_a_known_key_gives_its_team_and_the_shorter_time() -> None:
+def test_a_known_key_gives_its_team_and_the_shorter_timeout() -> None:
     accepted = admit_call(make_call(), make_knowledge(), REVOCATION, 0.5)
     assert isinstance(accepted, AcceptedCall)
     assert accepted.team == Team("desk")
@@ -50,13 +50,13 @@
     assert accepted.deadline == 4.0
 
 
-def test_an_unknown_key_is_refused_for_good() -> None:
+def test_an_unknown_key_is_refused_without_retry_after() -> None:
     refusal = admit_call(make_call(key="x"), make_knowledge(), REVOCATION, 0.0)
     assert isinstance(refusal, Refusal)
     assert (refusal.status, refusal.retry_after) == (401, None)
 
 
-def test_an_open_route_needs_no_key() -> None:
+def test_an_anonymous_route_needs_no_key() -> None:
     knowledge = Knowledge()
     knowledge.adopt(make_declaration(make_route(is_anonymous=True)))
     knowledge.confirm(0.0)
@@ -73,28 +73,28 @@
     assert (refusal.status, refusal.retry_after is not None) == (503, True)
 
 
-def test_without_fresh_knowledge_nothing_is_refused_for_good() -> None:
+def test_without_fresh_knowledge_unknown_routes_and_keys_get_503() -> None:
     knowledge = make_knowledge(confirmed_at=10.0)
     no_route = admit_call(make_call(path="/new/"), knowledge, REVOCATION, 13.0)
     no_key = admit_call(make_call(key="new"), knowledge, REVOCATION, 13.0)
     assert (no_route.status, no_key.status) == (503, 503)
 
 
-def test_before_any_configuration_all_is_refused_for_now() -> None:
+def test_without_a_configuration_calls_get_503() -> None:
     assert admit_call(make_call(), Knowledge(), REVOCATION, 0.0).status == 503
 
 
-def test_isolated_teams_have_a_wall_of_their_own() -> None:
+def test_isolated_teams_have_their_own_cache_namespace() -> None:
     teams = {KEY: Team("a", is_isolated=True), "k2": Team("b")}
     knowledge = make_knowledge(teams_by_key=teams)
-    walls = {
+    namespaces = {
         admit_call(make_call(key=key), knowledge, REVOCATION, 0.0).cache_namespace
         for key in (KEY, "k2")
     }
-    assert len(walls) == 2
+    assert len(namespaces) == 2
 
 
-def test_a_teams_priority_goes_before_the_routes() -> None:
+def test_a_teams_priority_overrides_the_routes() -> None:
     knowledge = make_knowledge(teams_by_key={KEY: Team("a", priority=7)})
     assert admit_call(make_call(), knowledge, REVOCATION, 0.0).urgency == 7
 
@@ -112,7 +112,7 @@
 
 
 @given(CALLS, st.floats(-1e4, 1e4))
-def test_an_answer_is_never_taken_for_newer_than_it_is(
+def test_an_answer_is_never_dated_later_than_it_was_made(
     calls: list[tuple[float, float, float]], offset: float
 ) -> None:
     """``calls`` are the ways there and back, and the time between calls."""
@@ -126,14 +126,14 @@
         now = made_at + back + between
 
 
-def test_a_waiting_call_is_dated_by_its_answer() -> None:
+def test_a_long_poll_is_dated_by_its_answer() -> None:
     clock = StoreClock()
     clock.date(Snapshot((), 1, 1000.0, 0.0, 0.01))
     # Sent at 1 s, answered by the store 2 s later.
     assert abs(clock.date(Snapshot((), 1, 1003.0, 1.0, 3.01)) - 3.0) < 0.02
 
 
-def test_wanted_weights_count_only_a_while_after_they_were_named() -> None:
+def test_a_weight_target_is_required_only_after_a_delay() -> None:
     from ashpond.decisions.declared import WeightTarget
 
     knowledge = Knowledge()
@@ -143,7 +143,7 @@
     assert not knowledge.adopt_target(WeightTarget("m", 1), 12.0)
 
 
-def test_a_target_that_is_heard_of_late_is_required_no_later() -> None:
+def test_a_target_received_late_is_required_no_later() -> None:
     """Hinokuni grown scale-1: old weights 15.3 s after the target's acceptance."""
     knowledge = Knowledge()
     knowledge.adopt(make_declaration())
@@ -161,7 +161,7 @@
     assert knowledge.find_possible_version("m", 30.0 - MAX_TARGET_DELAY_SECONDS) == 3
 
 
-def test_at_its_start_an_instance_knows_no_earlier_time() -> None:
+def test_an_instance_that_has_just_started_assumes_no_earlier_acceptance() -> None:
     knowledge = Knowledge()
     knowledge.adopt_target(WeightTarget("m", 2), 7.5)
     assert knowledge.find_possible_version("m", 7.4) == 0
--- a/tests/test_gateway_dispatch.py
+++ b/tests/test_gateway_dispatch.py
@@ -26,33 +26,33 @@
     NOT_RUN,
     RESUMABLE,
     STREAM,
-    UNREACHED,
+    UNREACHABLE,
     Answer,
-    Bench,
+    CallResult,
     RecordedReply,
     ScriptedPool,
     run_call,
 )
 
 
-async def test_the_answer_is_passed_on_unchanged(autojump_clock: object) -> None:
-    bench = await run_call(Answer(201, (b"a", b"b"), ((b"x-own", b"1"),)))
-    assert bench.reply.status == 201
-    assert bench.reply.body.getvalue() == b"ab"
-    assert bench.reply.get(b"x-engine-seal") == b"seal"
-    assert bench.reply.get(b"x-own") == b"1"
-    assert bench.reply.is_whole
+async def test_the_answer_is_forwarded_unchanged(autojump_clock: object) -> None:
+    result = await run_call(Answer(201, (b"a", b"b"), ((b"x-own", b"1"),)))
+    assert result.reply.status == 201
+    assert result.reply.body.getvalue() == b"ab"
+    assert result.reply.get(b"x-engine-seal") == b"seal"
+    assert result.reply.get(b"x-own") == b"1"
+    assert result.reply.is_complete
 
 
-async def test_the_request_goes_on_as_it_came(autojump_clock: object) -> None:
-    bench = await run_call(
+async def test_the_request_is_forwarded_unchanged(autojump_clock: object) -> None:
+    result = await run_call(
         Answer(),
         path="/bids/%2e%2e/x",
         method="PUT",
         body=b"\x00bytes",
         headers=[(b"X-Own", b"1"), (b"Host", b"desk.example")],
     )
-    server, request = bench.pool.requests[0]
+    server, request = result.pool.requests[0]
     headers = dict(request.headers)
     assert (request.method, request.target) == ("PUT", b"/bids/%2e%2e/x")
     assert request.body == b"\x00bytes"
@@ -63,171 +63,183 @@
 
 
 @pytest.mark.parametrize("failure", [BROKEN, Answer(200, (b"half",), error=BROKEN)])
-async def test_what_may_have_run_is_not_sent_again(
+async def test_a_non_idempotent_request_that_may_have_run_is_not_retried(
     failure: Answer | ChannelError, autojump_clock: object
 ) -> None:
-    bench = await run_call(failure, route=NON_IDEMPOTENT)
-    assert len(bench.pool.requests) == 1
-    assert bench.reply.status == 502
-    assert bench.reply.get(b"retry-after") is None
+    result = await run_call(failure, route=NON_IDEMPOTENT)
+    assert len(result.pool.requests) == 1
+    assert result.reply.status == 502
+    assert result.reply.get(b"retry-after") is None
 
 
 @pytest.mark.parametrize("kind", [RouteKind.NON_IDEMPOTENT, RouteKind.STREAM])
 @pytest.mark.parametrize("failure", [BROKEN, Answer(500)])
-async def test_attempts_allow_no_repeat_that_the_kind_forbids(
+async def test_max_attempts_allow_no_retry_that_the_route_kind_forbids(
     kind: RouteKind, failure: Answer | ChannelError, autojump_clock: object
 ) -> None:
     route = make_route(kind=kind, max_attempts=3)
-    bench = await run_call(failure, Answer(), route=route)
-    assert len(bench.pool.requests) == 1
-    assert bench.reply.status in (500, 502)
+    result = await run_call(failure, Answer(), route=route)
+    assert len(result.pool.requests) == 1
+    assert result.reply.status in (500, 502)
 
 
-@pytest.mark.parametrize("failure", [UNREACHED, Answer(503, headers=NOT_RUN)])
-async def test_what_has_not_run_is_sent_elsewhere(
+@pytest.mark.parametrize("failure", [UNREACHABLE, Answer(503, headers=NOT_RUN)])
+async def test_a_request_that_has_not_run_is_retried_on_another_server(
     failure: Answer | ChannelError, autojump_clock: object
 ) -> None:
-    bench = await run_call(failure, Answer(), route=NON_IDEMPOTENT)
-    assert bench.reply.status == 200
+    result = await run_call(failure, Answer(), route=NON_IDEMPOTENT)
+    assert result.reply.status == 200
 
 
-async def test_what_ran_nowhere_is_refused_with_a_time(autojump_clock: object) -> None:
+async def test_a_request_that_ran_nowhere_is_refused_with_retry_after(
+    autojump_clock: object,
+) -> None:
     full = Answer(503, headers=NOT_RUN)
-    bench = await run_call(full, full, full, full, route=NON_IDEMPOTENT)
-    assert bench.reply.status == 503
-    assert float(bench.reply.get(b"retry-after")) > 0
-    assert bench.reply.get(b"x-engine-seal") is None
+    result = await run_call(full, full, full, full, route=NON_IDEMPOTENT)
+    assert result.reply.status == 503
+    assert float(result.reply.get(b"retry-after")) > 0
+    assert result.reply.get(b"x-engine-seal") is None
 
 
-async def test_an_idempotent_call_goes_elsewhere_after_a_failure(
+async def test_an_idempotent_call_is_retried_on_another_server(
     autojump_clock: object,
 ) -> None:
-    bench = await run_call(BROKEN, Answer())
-    assert bench.reply.status == 200
-    assert len({server for server, _ in bench.pool.requests}) == 2
+    result = await run_call(BROKEN, Answer())
+    assert result.reply.status == 200
+    assert len({server for server, _ in result.pool.requests}) == 2
 
 
-async def test_attempts_bound_the_runs(autojump_clock: object) -> None:
-    bench = await run_call(Answer(500), Answer(500), Answer())
-    assert len(bench.pool.requests) == 2
-    assert bench.reply.status == 500
-    assert bench.reply.get(b"x-engine-seal") == b"seal"
+async def test_max_attempts_limits_the_runs(autojump_clock: object) -> None:
+    result = await run_call(Answer(500), Answer(500), Answer())
+    assert len(result.pool.requests) == 2
+    assert result.reply.status == 500
+    assert result.reply.get(b"x-engine-seal") == b"seal"
 
 
-async def test_without_budget_nothing_is_sent_again(autojump_clock: object) -> None:
-    bench = await run_call(Answer(500), Answer(), slack=0.0)
-    assert len(bench.pool.requests) == 1
-    assert bench.reply.status == 500
+async def test_without_retry_budget_nothing_is_retried(autojump_clock: object) -> None:
+    result = await run_call(Answer(500), Answer(), slack=0.0)
+    assert len(result.pool.requests) == 1
+    assert result.reply.status == 500
 
 
-async def test_a_silent_server_is_left_if_the_call_is_idempotent(
+async def test_an_idempotent_call_is_retried_after_an_answer_timeout(
     autojump_clock: object,
 ) -> None:
-    bench = await run_call(Answer(delay=60.0), Answer())
-    assert bench.reply.status == 200
-    assert bench.pool.closed == 1
+    result = await run_call(Answer(delay=60.0), Answer())
+    assert result.reply.status == 200
+    assert result.pool.closed == 1
 
 
-async def test_a_silent_server_is_waited_for_otherwise(autojump_clock: object) -> None:
+async def test_a_non_idempotent_call_waits_until_its_deadline(
+    autojump_clock: object,
+) -> None:
     started = trio.current_time()
-    bench = await run_call(Answer(delay=60.0), route=NON_IDEMPOTENT)
-    assert bench.reply.status == 504
-    assert bench.reply.ended_at - started == pytest.approx(3.0, abs=0.01)
-    assert bench.pool.closed == 1
+    result = await run_call(Answer(delay=60.0), route=NON_IDEMPOTENT)
+    assert result.reply.status == 504
+    assert result.reply.finished_at - started == pytest.approx(3.0, abs=0.01)
+    assert result.pool.closed == 1
 
 
-async def test_with_no_place_a_call_is_refused_early(autojump_clock: object) -> None:
+async def test_without_a_free_server_a_call_is_refused_early(
+    autojump_clock: object,
+) -> None:
     started = trio.current_time()
     table = make_table(make_server("a", slots=1))
     table.by_id["a"].excluded_until = started + 60
-    bench = await run_call(table=table)
-    assert bench.reply.status == 503
-    assert bench.reply.ended_at - started < 0.25 * 0.6
-    assert bench.pool.requests == []
+    result = await run_call(table=table)
+    assert result.reply.status == 503
+    assert result.reply.finished_at - started < 0.25 * 0.6
+    assert result.pool.requests == []
 
 
-async def test_a_stream_that_breaks_is_seen_to_be_broken(
+async def test_a_broken_stream_is_aborted(
     autojump_clock: object,
 ) -> None:
-    bench = await run_call(Answer(200, (b"id: 1\n\n",), error=BROKEN), route=STREAM)
-    assert bench.reply.is_aborted
-    assert not bench.reply.is_whole
-    assert len(bench.pool.requests) == 1
+    result = await run_call(Answer(200, (b"id: 1\n\n",), error=BROKEN), route=STREAM)
+    assert result.reply.is_aborted
+    assert not result.reply.is_complete
+    assert len(result.pool.requests) == 1
 
 
-async def test_a_stream_that_breaks_before_its_first_event_gets_an_answer(
+async def test_a_stream_broken_before_its_first_event_gets_an_error_answer(
     autojump_clock: object,
 ) -> None:
-    bench = await run_call(Answer(200, (), error=BROKEN), route=STREAM)
-    assert bench.reply.status == 502
+    result = await run_call(Answer(200, (), error=BROKEN), route=STREAM)
+    assert result.reply.status == 502
 
 
-async def test_a_resumable_stream_goes_on_elsewhere(autojump_clock: object) -> None:
+async def test_a_resumable_stream_resumes_on_another_server(
+    autojump_clock: object,
+) -> None:
     first = Answer(200, (b"id: 1\nda", b"ta: a\n\nid: 2\nda"), error=BROKEN)
     second = Answer(200, (b"id: 2\ndata: b\n\n",), ((b"x-second", b"1"),))
-    bench = await run_call(first, second, route=RESUMABLE)
-    assert bench.reply.body.getvalue() == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
-    assert bench.reply.is_whole
-    assert bench.reply.get(b"x-second") is None
-    assert dict(bench.pool.requests[1][1].headers)[b"last-event-id"] == b"1"
+    result = await run_call(first, second, route=RESUMABLE)
+    assert result.reply.body.getvalue() == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
+    assert result.reply.is_complete
+    assert result.reply.get(b"x-second") is None
+    assert dict(result.pool.requests[1][1].headers)[b"last-event-id"] == b"1"
 
 
-async def test_a_failure_in_place_of_going_on_breaks_the_stream_off(
+async def test_a_failed_resume_aborts_the_stream(
     autojump_clock: object,
 ) -> None:
     first = Answer(200, (b"id: 1\n\n",), error=BROKEN)
-    bench = await run_call(first, Answer(500), route=RESUMABLE)
-    assert bench.reply.is_aborted
-    assert bench.reply.body.getvalue() == b"id: 1\n\n"
+    result = await run_call(first, Answer(500), route=RESUMABLE)
+    assert result.reply.is_aborted
+    assert result.reply.body.getvalue() == b"id: 1\n\n"
 
 
-async def test_a_stream_past_its_deadline_is_broken_off(
+async def test_a_stream_that_does_not_start_before_its_deadline_gets_504(
     autojump_clock: object,
 ) -> None:
     slow = make_route(kind=RouteKind.STREAM, timeout=1.0)
-    bench = await run_call(Answer(delay=0.5), Answer(), route=slow, timeout=0.4)
-    assert bench.reply.status == 504
+    result = await run_call(Answer(delay=0.5), Answer(), route=slow, timeout=0.4)
+    assert result.reply.status == 504
 
 
-async def test_a_server_of_another_life_gets_nothing_more(
+async def test_a_misdirected_server_gets_no_more_requests(
     autojump_clock: object,
 ) -> None:
     other = Answer(421, headers=((b"x-instance-id", b"else"),))
-    bench = await run_call(other, Answer(), route=NON_IDEMPOTENT)
-    server = bench.pool.requests[0][0]
-    assert bench.table.by_id[server].is_misdirected
-    assert bench.reply.status == 200
+    result = await run_call(other, Answer(), route=NON_IDEMPOTENT)
+    server = result.pool.requests[0][0]
+    assert result.table.by_id[server].is_misdirected
+    assert result.reply.status == 200
 
 
-async def test_a_prompt_names_salt_and_weights(autojump_clock: object) -> None:
-    bench = await run_call(Answer(), route=STREAM, prompt=make_prompt())
-    headers = dict(bench.pool.requests[0][1].headers)
+async def test_a_request_with_a_prompt_sends_salt_and_weights_version(
+    autojump_clock: object,
+) -> None:
+    result = await run_call(Answer(), route=STREAM, prompt=make_prompt())
+    headers = dict(result.pool.requests[0][1].headers)
     assert headers[b"x-expect-version"] == b"1"
     assert headers[b"x-cache-salt"] == b"shared/m1/1"
 
 
-async def test_weights_seen_in_an_answer_are_believed(autojump_clock: object) -> None:
+async def test_the_weights_version_of_an_answer_is_adopted(
+    autojump_clock: object,
+) -> None:
     newer = Answer(421, headers=((b"x-weight-versions", b"4"),))
-    bench = await run_call(newer, Answer(), route=STREAM, prompt=make_prompt())
-    server = bench.pool.requests[0][0]
-    assert bench.table.by_id[server].weights[MODEL] == 4
+    result = await run_call(newer, Answer(), route=STREAM, prompt=make_prompt())
+    server = result.pool.requests[0][0]
+    assert result.table.by_id[server].weights[MODEL] == 4
 
 
-async def test_a_refusal_while_weights_load_closes_the_server_for_longer(
+async def test_a_refusal_while_weights_load_excludes_the_server_for_longer(
     autojump_clock: object,
 ) -> None:
-    def name_target(table: ServerTable, knowledge: Knowledge) -> None:
+    def adopt_target(table: ServerTable, knowledge: Knowledge) -> None:
         knowledge.adopt_target(WeightTarget(MODEL, 2), trio.current_time())
 
     loading = Answer(503, headers=NOT_RUN)
-    bench = await run_call(
-        loading, Answer(), route=STREAM, prompt=make_prompt(), prepare=name_target
+    result = await run_call(
+        loading, Answer(), route=STREAM, prompt=make_prompt(), prepare=adopt_target
     )
-    state = bench.table.by_id[bench.pool.requests[0][0]]
+    state = result.table.by_id[result.pool.requests[0][0]]
     assert state.excluded_until - trio.current_time() > 0.3
 
 
-async def test_a_caller_that_leaves_closes_the_connection(
+async def test_a_client_that_disconnects_closes_the_server_connection(
     autojump_clock: object,
 ) -> None:
     pools: list[ScriptedPool] = []
@@ -244,7 +256,7 @@
             Answer(500),
             Answer(503, headers=NOT_RUN),
             BROKEN,
-            UNREACHED,
+            UNREACHABLE,
             Answer(200, (b"id: 1\n\n", b"id:"), error=BROKEN),
             Answer(421, headers=((b"x-instance-id", b"else"),)),
             Answer(delay=60.0),
@@ -257,18 +269,18 @@
 
 @given(SCRIPTS, st.sampled_from([make_route(), NON_IDEMPOTENT, STREAM, RESUMABLE]))
 @settings(max_examples=150)
-def test_whatever_servers_do_one_true_answer_comes(
+def test_any_server_behaviour_gives_exactly_one_correct_answer(
     script: list[Answer | ChannelError], route: Route
 ) -> None:
-    bench = trio.run(
+    result = trio.run(
         _run_with_prompt,
         script,
         route,
         clock=trio.testing.MockClock(autojump_threshold=0),
     )
-    reply = bench.reply
-    assert reply.is_whole != reply.is_aborted
-    left = len(bench.pool.script)
+    reply = result.reply
+    assert reply.is_complete != reply.is_aborted
+    left = len(result.pool.script)
     used = script[: len(script) - left]
     ran = [step for step in used if _may_have_run(step)]
     if not (route.is_idempotent or route.is_resumable):
@@ -276,11 +288,11 @@
     assert len(ran) <= max(1, route.max_attempts)
     if reply.status == 503:
         assert not ran, "a refusal that promises not to have run"
-    if reply.status == 200 and reply.is_whole:
+    if reply.status == 200 and reply.is_complete:
         assert ran[-1] == Answer()
 
 
-async def _run_with_prompt(script: list[Any], route: Route) -> Bench:
+async def _run_with_prompt(script: list[Any], route: Route) -> CallResult:
     return await run_call(*script, route=route)
 
 
@@ -290,34 +302,34 @@
     return step.status != 421 and not step.headers
 
 
-async def test_a_refusal_that_names_nothing_while_weights_change(
+async def test_a_refusal_without_a_version_while_weights_change_implies_the_target(
     autojump_clock: object,
 ) -> None:
     """News of a finished load were late: each send asked for the old weights anew."""
 
-    def name_target(table: ServerTable, knowledge: Knowledge) -> None:
+    def adopt_target(table: ServerTable, knowledge: Knowledge) -> None:
         knowledge.adopt_target(WeightTarget(MODEL, 2), trio.current_time())
 
-    bench = await run_call(
-        Answer(421), Answer(), route=STREAM, prompt=make_prompt(), prepare=name_target
+    result = await run_call(
+        Answer(421), Answer(), route=STREAM, prompt=make_prompt(), prepare=adopt_target
     )
-    state = bench.table.by_id[bench.pool.requests[0][0]]
+    state = result.table.by_id[result.pool.requests[0][0]]
     assert state.weights[MODEL] == 2
     assert state.is_usable(trio.current_time())
 
 
-async def test_a_wrong_guess_of_the_weights_is_taken_back(
+async def test_a_wrong_assumption_of_the_weights_is_reverted(
     autojump_clock: object,
 ) -> None:
-    def guess(table: ServerTable, knowledge: Knowledge) -> None:
+    def assume_target(table: ServerTable, knowledge: Knowledge) -> None:
         knowledge.adopt_target(WeightTarget(MODEL, 2), trio.current_time())
         for state in table.by_id.values():
             state.weights[MODEL] = 2
 
-    bench = await run_call(
-        Answer(421), Answer(), route=STREAM, prompt=make_prompt(), prepare=guess
+    result = await run_call(
+        Answer(421), Answer(), route=STREAM, prompt=make_prompt(), prepare=assume_target
     )
-    state = bench.table.by_id[bench.pool.requests[0][0]]
+    state = result.table.by_id[result.pool.requests[0][0]]
     assert state.weights[MODEL] == 1
     assert not state.is_usable(trio.current_time())
 
@@ -340,7 +352,7 @@
 
 @pytest.mark.parametrize("is_shielded", [True, False])
 @pytest.mark.parametrize("route", [NON_IDEMPOTENT, STREAM])
-async def test_an_answer_that_is_being_passed_on_is_ended_once(
+async def test_an_answer_cut_by_the_deadline_is_finished_or_aborted_once(
     route: Route, is_shielded: bool, autojump_clock: object
 ) -> None:
     """The deadline passes while a client takes an answer that came in time.
@@ -349,9 +361,9 @@
     answer; a reply that the deadline cut was neither complete nor aborted.
     """
     reply = SlowReply(is_shielded=is_shielded)
-    bench = await run_call(Answer(), route=route, reply=reply)
+    result = await run_call(Answer(), route=route, reply=reply)
     assert reply.status == 200
-    assert reply.is_whole != reply.is_aborted
+    assert reply.is_complete != reply.is_aborted
     if is_shielded and route is NON_IDEMPOTENT:
-        assert reply.is_whole
-    assert len(bench.pool.requests) == 1
+        assert reply.is_complete
+    assert len(result.pool.requests) == 1
--- a/tests/test_news_groups.py
+++ b/tests/test_news_groups.py
@@ -19,7 +19,7 @@
 from ashpond.news.links import Audience, Link
 from ashpond.news.pace import GROUP_NEWS_SECONDS, HEARTBEAT_SECONDS, NEWS_SECONDS
 from ashpond.standins.tables import MemoryStore
-from tests.gateway_builders import make_end
+from tests.gateway_builders import make_crash
 from tests.newsroom import Instance, wait_for
 from tests.ports import find_free_port
 
@@ -82,7 +82,7 @@
 async def test_groups_tell_ends_of_servers_and_who_is_new_hears_of_all(
     grouped: list[Instance],
 ) -> None:
-    end = make_end("a")
+    end = make_crash("a")
     *running_now, late = grouped
     async with running(grouped):
         late.scope.cancel()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -45,7 +45,7 @@
 from tests.gateway_builders import (
     FINGERPRINT,
     QUARANTINE_SECONDS,
-    make_end,
+    make_crash,
     make_quarantine,
     make_server,
     make_table,
@@ -62,7 +62,7 @@
     count: int = QUARANTINE_CRASHES, **changes: object
 ) -> list[ServerCrash]:
     """Return successive crashes of different servers, the last one at ``LAST``."""
-    return [make_end(f"s{n}", LAST - n * GAP, **changes) for n in range(count)]
+    return [make_crash(f"s{n}", LAST - n * GAP, **changes) for n in range(count)]
 
 
 def make_settled_crashes() -> list[ServerCrash]:
@@ -97,19 +97,19 @@
 def test_a_crash_counts_once_however_often_it_is_reported() -> None:
     records = make_records()
     for later in range(20):
-        records.note(make_end("s1"), NOW + later)
+        records.note(make_crash("s1"), NOW + later)
     assert records.count_successive(FINGERPRINT, NOW) == 1
 
 
 def test_reports_with_and_without_a_start_are_the_same_crash() -> None:
-    first = make_end("s1", LAST - GAP, started_ms=None)
-    records = make_records(first, make_end("s1"))
+    first = make_crash("s1", LAST - GAP, started_ms=None)
+    records = make_records(first, make_crash("s1"))
     assert records.count_successive(FINGERPRINT, NOW) == 1
     assert records.list_servers(FINGERPRINT, NOW) == ["s1"]
 
 
 def test_each_start_of_a_server_counts() -> None:
-    crashes = [make_end("s1", LAST - n * GAP, started_ms=1000 + n) for n in range(3)]
+    crashes = [make_crash("s1", LAST - n * GAP, started_ms=1000 + n) for n in range(3)]
     records = make_records(*crashes)
     assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
@@ -117,7 +117,7 @@
 def test_servers_that_crash_together_quarantine_no_request() -> None:
     # The clocks of the instances differ, and some connections were idle.
     crashes = [
-        make_end(f"s{n}", LAST + n * CLOCK_ERROR_SECONDS / 18) for n in range(18)
+        make_crash(f"s{n}", LAST + n * CLOCK_ERROR_SECONDS / 18) for n in range(18)
     ]
     crashes += [
         e._replace(server_id=f"idle {e.server_id}", sent_at=LAST) for e in crashes
@@ -127,13 +127,13 @@
 
 
 def test_successive_crashes_count_however_close_they_are() -> None:
-    crashes = [make_end(f"s{n}", LAST - n * 0.1) for n in range(3)]
+    crashes = [make_crash(f"s{n}", LAST - n * 0.1) for n in range(3)]
     records = make_records(*crashes)
     assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
 
 def test_copies_sent_before_the_first_crash_count_once() -> None:
-    crashes = [make_end(f"s{n}", LAST - n, sent_at=LAST - 9.0) for n in range(5)]
+    crashes = [make_crash(f"s{n}", LAST - n, sent_at=LAST - 9.0) for n in range(5)]
     records = make_records(*crashes)
     assert records.classify(FINGERPRINT, NOW) is QuarantineState.SUSPECTED
 
@@ -157,7 +157,7 @@
             records.note(crash, NOW + passed)
     now = NOW + QUARANTINE_SECONDS
     assert records.classify(FINGERPRINT, now) is QuarantineState.FREE
-    assert not records.note(make_end(), now)
+    assert not records.note(make_crash(), now)
     assert records.list_fingerprints() == {FINGERPRINT}
     records.expire(now)
     assert not records.list_fingerprints()
@@ -166,18 +166,18 @@
 def test_a_crash_dated_by_a_reset_clock_expires() -> None:
     records = make_records(*make_crashes())
     assert records.classify(FINGERPRINT, 10.0) is QuarantineState.FREE
-    assert not records.note(make_end(at=NOW * 2), NOW)
+    assert not records.note(make_crash(at=NOW * 2), NOW)
 
 
 def test_a_request_may_be_tried_once_more_when_its_first_crash_expires() -> None:
     records = make_records(*make_crashes())
     now = LAST + QUARANTINE_SECONDS - GAP * 1.5
     assert records.classify(FINGERPRINT, now) is QuarantineState.SUSPECTED
-    records.note(make_end("s9", now), now)
+    records.note(make_crash("s9", now), now)
     assert records.classify(FINGERPRINT, now) is QuarantineState.HELD
     now += SETTLING_SECONDS
     records = make_records()
-    for crash in [*make_crashes(2), make_end("s9", LAST + 1)]:
+    for crash in [*make_crashes(2), make_crash("s9", LAST + 1)]:
         records.note(crash, LAST + 1)
     now = LAST + 1 + SETTLING_SECONDS
     assert records.classify(FINGERPRINT, now) is QuarantineState.QUARANTINED
@@ -186,7 +186,7 @@
 def test_other_bodies_evict_no_quarantined_request() -> None:
     records = make_records(*make_crashes())
     for number in range(MAX_REQUESTS * 3):
-        records.note(make_end(fingerprint=f"{number:024x}"), NOW)
+        records.note(make_crash(fingerprint=f"{number:024x}"), NOW)
     assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
     assert len(records.list_fingerprints()) == MAX_REQUESTS
 
@@ -194,9 +194,9 @@
 def test_simultaneous_crashes_evict_no_others() -> None:
     records = make_records()
     for number in range(MAX_CRASHES * 2):
-        records.note(make_end(f"h{number}", LAST - 2 * GAP), NOW)
-    records.note(make_end("s1", LAST - GAP), NOW)
-    records.note(make_end("s2"), NOW)
+        records.note(make_crash(f"h{number}", LAST - 2 * GAP), NOW)
+    records.note(make_crash("s1", LAST - GAP), NOW)
+    records.note(make_crash("s2"), NOW)
     assert records.classify(FINGERPRINT, NOW) is QuarantineState.QUARANTINED
 
 
@@ -388,7 +388,7 @@
         quarantine=quarantine,
         prepare=start_reports,
     )
-    assert bench.reply.is_whole
+    assert bench.reply.is_complete
     assert bench.reply.body.getvalue().count(b"data") == 2
 
 
@@ -439,7 +439,7 @@
 
 def test_one_more_crash_shows_which_request_is_the_cause() -> None:
     records = make_records(*make_contested(QUARANTINE_CRASHES))
-    records.note(make_end("s9", LAST + 0.2), NOW)
+    records.note(make_crash("s9", LAST + 0.2), NOW)
     assert records.classify(FINGERPRINT, NOW + 0.2) is QuarantineState.QUARANTINED
     assert records.classify("0" * 24, NOW + 0.2) is QuarantineState.FREE
 
@@ -670,7 +670,7 @@
 def test_crash_updates_raise_only_frame_errors_and_are_not_used_in_part(
     crashes: list[list[object]],
 ) -> None:
-    complete = list(make_end())
+    complete = list(make_crash())
     for message in (crashes, [complete, *crashes], [complete[:-1]], [[*complete, 1]]):
         try:
             _, found = decode_ends(ServerEndNews("i", "own", message))
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -18,7 +18,7 @@
 from tests.fleet import Fleet, run_until_current
 
 
-async def test_streams_are_cut_once_the_requests_that_cannot_move_have_ended(
+async def test_streams_are_cut_once_the_non_resumable_requests_have_ended(
     autojump_clock: object,
 ) -> None:
     """An order that finds both waits for the longest stream, 5 s, with no request."""
@@ -36,7 +36,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_long_load_stays_closed_to_all(autojump_clock: object) -> None:
+async def test_an_engine_stays_excluded_during_a_long_load(
+    autojump_clock: object,
+) -> None:
     fleet = Fleet(1, engines=1)
     state = fleet.tables[0].by_id["s0"]
     notices: list[ServerNotice] = []
@@ -51,12 +53,14 @@
         for _ in range(40):
             assert not state.is_usable(trio.current_time())
             await trio.sleep(0.1)
-        closing = [notice for notice in notices if notice.closed_seconds]
-        assert len(closing) >= 2
+        exclusions = [notice for notice in notices if notice.closed_seconds]
+        assert len(exclusions) >= 2
         nursery.cancel_scope.cancel()
 
 
-async def test_of_many_engines_fewer_load_at_once(autojump_clock: object) -> None:
+async def test_in_a_large_fleet_a_smaller_share_of_engines_loads_at_once(
+    autojump_clock: object,
+) -> None:
     fleet = Fleet(2, engines=45)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
@@ -66,7 +70,7 @@
     assert fleet.engines.most_loading == int(45 * MANY_LOADING_SHARE)
 
 
-async def test_who_need_not_contend_does_not_read_the_lease(
+async def test_instances_with_a_high_rank_do_not_read_the_lease(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(40)
@@ -78,7 +82,7 @@
     assert fleet.store.calls.count(f"read {LEASE_TABLE}") <= 3
 
 
-async def test_no_stream_is_cut_before_late_news_of_other_requests(
+async def test_no_stream_is_cut_before_delayed_updates_have_arrived(
     autojump_clock: object,
 ) -> None:
     """Grown Khangai scale-1: 735 answers were cut, of requests sent moments before."""
@@ -99,17 +103,17 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_those_that_only_watch_for_the_holder_look_seldom(
+async def test_instances_without_the_lease_check_less_often(
     autojump_clock: object,
 ) -> None:
     """Each of 195 looked at all servers, and ranked all members, ten times a second."""
     fleet = Fleet(8, engines=4)
     fleet.engines.load_seconds = 3.0
-    looks = dict.fromkeys(range(8), 0)
+    checks = dict.fromkeys(range(8), 0)
     for number, controller in enumerate(fleet.controllers):
 
         def find(number: int = number, real: Any = controller._find_outdated) -> Any:
-            looks[number] += 1
+            checks[number] += 1
             return real()
 
         controller._find_outdated = find  # type: ignore[method-assign]
@@ -118,7 +122,7 @@
         fleet.name_version(2)
         await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
-    holder = max(looks, key=lambda number: looks[number])
+    holder = max(checks, key=lambda number: checks[number])
     assert fleet.list_holders() == [f"i{holder}"]
-    assert looks.pop(holder) >= 3.0 / HOLDER_CHECK_SECONDS * 0.9
-    assert max(looks.values()) <= 3.0 / STANDBY_CHECK_SECONDS + 2
+    assert checks.pop(holder) >= 3.0 / HOLDER_CHECK_SECONDS * 0.9
+    assert max(checks.values()) <= 3.0 / STANDBY_CHECK_SECONDS + 2
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -13,7 +13,7 @@
 from tests.fleet import Fleet, run_until_current
 
 
-async def test_one_of_many_instances_orders(autojump_clock: object) -> None:
+async def test_only_one_instance_sends_orders(autojump_clock: object) -> None:
     fleet = Fleet(8)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
@@ -36,7 +36,7 @@
     assert fleet.store.calls == []
 
 
-async def test_another_takes_over_from_a_holder_that_is_gone(
+async def test_another_instance_takes_over_from_a_crashed_lease_holder(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(4)
@@ -53,7 +53,9 @@
     fleet.assert_holders_apart()
 
 
-async def test_an_old_holder_is_succeeded_at_once(autojump_clock: object) -> None:
+async def test_a_lease_that_expired_long_ago_is_taken_over_at_once(
+    autojump_clock: object,
+) -> None:
     """The store's clock tells how long ago the lease was last renewed."""
     fleet = Fleet(4)
     async with trio.open_nursery() as nursery:
@@ -68,7 +70,7 @@
     fleet.assert_holders_apart()
 
 
-async def test_late_orders_never_take_an_engine_back(autojump_clock: object) -> None:
+async def test_late_orders_never_load_an_older_version(autojump_clock: object) -> None:
     fleet = Fleet(3)
     fleet.engines.lost = 3
     async with trio.open_nursery() as nursery:
@@ -82,7 +84,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_version_named_meanwhile_replaces_the_one_before(
+async def test_a_newer_target_replaces_an_unfinished_rollout(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(3)
@@ -97,7 +99,7 @@
     assert sum(sent.order.version == 2 for sent in fleet.engines.orders) == 2
 
 
-async def test_loads_wait_while_engines_are_away_but_not_for_ever(
+async def test_loads_wait_for_unreachable_engines_for_a_limited_time(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1)
@@ -117,18 +119,18 @@
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("lost", [False, True])
-async def test_without_the_store_no_new_holder_orders(
-    lost: bool, autojump_clock: object
+@pytest.mark.parametrize("has_lost_answers", [False, True])
+async def test_no_instance_takes_the_lease_without_the_store(
+    has_lost_answers: bool, autojump_clock: object
 ) -> None:
     fleet = Fleet(2)
-    fleet.store.is_down = not lost
-    fleet.store.lose_answers = lost
+    fleet.store.is_down = not has_lost_answers
+    fleet.store.lose_answers = has_lost_answers
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         fleet.name_version(2)
         await trio.sleep(3.0)
-        if not lost:
+        if not has_lost_answers:
             assert fleet.engines.orders == []
         fleet.store.is_down = fleet.store.lose_answers = False
         await run_until_current(fleet, 2, 12.0)
@@ -136,7 +138,7 @@
     fleet.assert_holders_apart()
 
 
-async def test_requests_that_cannot_move_end_before_streams_are_cut(
+async def test_non_resumable_requests_end_before_streams_are_cut(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1, engines=1)
@@ -154,7 +156,7 @@
     assert [sent.order.cuts_runs for sent in fleet.engines.orders] == [True]
 
 
-async def test_streams_are_not_cut_if_the_budget_is_needed_otherwise(
+async def test_streams_are_not_cut_if_the_retry_budget_is_low(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1, engines=1)
@@ -168,7 +170,7 @@
     assert [sent.order.cuts_runs for sent in fleet.engines.orders] == [False]
 
 
-async def test_streams_are_not_cut_beside_requests_that_cannot_move(
+async def test_streams_are_not_cut_beside_non_resumable_requests(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(1, engines=1)
@@ -181,7 +183,7 @@
     assert [sent.order.cuts_runs for sent in fleet.engines.orders] == [False]
 
 
-async def test_streams_are_not_cut_beside_a_request_that_came_during_a_report(
+async def test_streams_are_not_cut_beside_a_request_that_arrived_during_a_report(
     autojump_clock: object,
 ) -> None:
     """The engine's report takes a while, and so may news of others' requests.
@@ -216,7 +218,7 @@
     assert [sent.order.cuts_runs for sent in fleet.engines.orders] == [True]
 
 
-async def test_weights_that_end_engines_do_not_end_all_again_and_again(
+async def test_weights_that_crash_engines_are_not_ordered_again_and_again(
     autojump_clock: object,
 ) -> None:
     """Each engine that loads a version ends, and is back with the one before.
@@ -237,7 +239,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_an_order_is_tried_again_where_engines_ended_by_chance(
+async def test_an_order_is_retried_after_unrelated_engine_crashes(
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(3)
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -183,7 +183,7 @@
         nursery.start_soon(wake)
         bench = await run_call(Answer(delay=60.0))
     assert bench.reply.status == 504
-    assert bench.reply.ended_at <= SUSPENDED_SECONDS + 0.6
+    assert bench.reply.finished_at <= SUSPENDED_SECONDS + 0.6
 
 
 async def test_an_idle_connection_of_before_is_not_used() -> None:
--- a/tests/test_serverdirectives.py
+++ b/tests/test_serverdirectives.py
@@ -55,7 +55,7 @@
     bench = await run_call(table=table)
     assert not bench.pool.requests
     assert bench.reply.status == 503
-    assert bench.reply.ended_at == trio.current_time()
+    assert bench.reply.finished_at == trio.current_time()
     wait = float(bench.reply.get(b"retry-after") or 0)
     assert 2.9 <= wait <= 3.5
 
