--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -13,7 +13,7 @@
     OPERATOR_WAIT_SHARE,
     READERS_IDLE_TIMEOUT_SHARE,
 )
-from ashpond.gateway.admission import AGE_SHARE
+from ashpond.gateway.admission import MAX_AGE_SHARE
 from ashpond.standins.tables import MemoryStore
 from tests.followed import IDLE_TIMEOUT_SECONDS, FollowedTable, running
 
@@ -100,7 +100,7 @@
         nursery.start_soon(other.run)
         await trio.sleep(bound * 10)
         nursery.cancel_scope.cancel()
-    assert 0.0 < other.max_age < bound * AGE_SHARE
+    assert 0.0 < other.max_age < bound * MAX_AGE_SHARE
 
 
 async def test_first_call_after_an_outage_does_not_wait(
--- a/tests/test_gateway_ingress.py
+++ b/tests/test_gateway_ingress.py
@@ -15,7 +15,7 @@
 from ashpond.clients.channels import ChannelPool
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.errors import SettingsError
-from ashpond.gateway.admission import DOUBT_SHARE
+from ashpond.gateway.admission import UNCERTAIN_AGE_SHARE
 from ashpond.gateway.application import LEAVE_SECONDS, Gateway
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.settings import (
@@ -354,7 +354,7 @@
     gateway = Gateway(SettingsFile("", settings), platform, pool, DecisionLog("i0", 2))
     feeds = {feed.table: feed for feed in gateway._build_feeds()}
     operator = feeds[OPERATOR_TABLE]
-    outdated_after = bound_ms / 1000 * DOUBT_SHARE
+    outdated_after = bound_ms / 1000 * UNCERTAIN_AGE_SHARE
     assert operator.wait <= outdated_after * 0.7
     assert operator.wait < operator.idle_timeout < outdated_after
 
