--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -41,7 +41,7 @@
 CRASHES_KEY = "server_ends"
 # A crash counts for ten minutes, as for routed calls (seconds).
 RETENTION_SECONDS = 600.0
-# The longest propagation of a fact to all instances (gossip periods).
+# A fact reaches all instances within two gossip periods (periods).
 MAX_GOSSIP_PERIODS = 2
 # Crashes in a fact, which is sent in each gossip period; some 70 bytes each.
 MAX_SENT_CRASHES = 32
--- a/ashpond/controllers/quarantine.py
+++ b/ashpond/controllers/quarantine.py
@@ -83,6 +83,8 @@
         self._calls: Counter[str] = Counter()
         self._attempts: Counter[str] = Counter()
         self._state_changes: dict[str, trio.Event] = {}
+        # The requests whose crashes have not been sent to the peers, and those whose
+        # crashes have been sent or received.
         self._unsent: set[str] = set()
         self._shared: set[str] = set()
         self._reporters: dict[str, set[str]] = {}
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -43,6 +43,8 @@
 
 
 class QuarantineBench:
+    """One instance's call quarantine with fake members and engines."""
+
     def __init__(self) -> None:
         self.members = FakeMembers()
         self.engines = SimpleNamespace(servers={}, on_crash=None)
--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -41,6 +41,8 @@
 
 
 class DetectorBench:
+    """A crash detector with a scripted pool, and what it reports."""
+
     def __init__(self, reach: Reach = Reach.UNKNOWN):
         self.pool = CountingPool(reach)
         self.lost: list[LostRequest] = []
--- a/tests/test_requests_that_crash_servers.py
+++ b/tests/test_requests_that_crash_servers.py
@@ -5,7 +5,7 @@
 so that each one retried the request at a second engine: 16 engines crashed, five of
 them within a second, and a quarter to a third of the other requests got no answer. The
 retry budget doesn't prevent this: of 47 and 41 attempts, 25 were first attempts, which
-it doesn't count, and the retries of other requests used it up.
+it doesn't count, and the retries of other requests used it up 19 and 54 times.
 
 The deadly request has to be quarantined, but not a harmless one that is in flight at
 many of the same crashes (17 of 42 with one instance, 13 of 33 with six) and is answered
