--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -85,7 +85,7 @@
     state = make_state()
     bench.detector.note_failed_attempt(state, "f1", trio.current_time())
     await trio.sleep(1)
-    # It crashes later, which was not the reason of the earlier failure.
+    # The later crash is not the cause of the earlier failure.
     bench.detector.note_crash(state, CrashEvidence.ENTRY_GONE)
     assert not bench.lost
 
