--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -75,7 +75,7 @@
 
 
 def make_address(server_id: str) -> str:
-    """Return an address of the server's own; nothing listens there."""
+    """Return an address that only this server has; nothing listens there."""
     number = zlib.crc32(server_id.encode())
     return f"127.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9"
 
@@ -159,7 +159,7 @@
 def make_crash(
     server_id: str = "s1", at: float = 1000.0, **changes: object
 ) -> ServerCrash:
-    """Return an end at a time of the store's clock, of a request that took 50 ms."""
+    """Return a crash, by the store's clock, under a request sent 50 ms before."""
     values: dict = {
         "fingerprint": FINGERPRINT,
         "server_id": server_id,
@@ -171,7 +171,7 @@
 
 
 def make_store_clock() -> StoreClock:
-    """Return a clock that is set by a store in memory."""
+    """Return a clock that is synchronised with a store in memory."""
     now = trio.current_time()
     clock = StoreClock()
     clock.date(Snapshot((), 0, now + MemoryStore().clock_offset, now, now))
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -43,7 +43,7 @@
 
 
 class Answer(NamedTuple):
-    """What a server does with one request: pieces, then perhaps an error."""
+    """A server's answer to one request: pieces of the body, then perhaps an error."""
 
     status: int = 200
     pieces: tuple[bytes, ...] = (b"ok",)
@@ -75,7 +75,7 @@
 
 
 class ScriptedPool:
-    """Gives out channels that follow a script, whichever server is asked."""
+    """Channels that answer by a script, whichever server is called."""
 
     def __init__(self, script: list[Answer | ChannelError]):
         self.script = list(script)
@@ -86,7 +86,7 @@
         if self.script and self.script[0] is UNREACHABLE:
             self.script.pop(0)
             raise UNREACHABLE
-        # The owner names a start of a server, the id first.
+        # The owner is the id of a server and its start.
         return ScriptedChannel(self, owner.partition(" ")[0])
 
     def release(self, owner: str, channel: ScriptedChannel) -> None:
@@ -118,7 +118,7 @@
 
 
 class RecordedReply:
-    """Keeps what a client would see."""
+    """Records the answer that a client would receive."""
 
     def __init__(self) -> None:
         self.status: int | None = None
--- a/tests/test_decisionlog.py
+++ b/tests/test_decisionlog.py
@@ -1,4 +1,4 @@
-"""Lines of the log are written whole, counted where dropped, and never waited for."""
+"""Log lines are written completely, counted if dropped, and never block."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         log.note("sent", id=str(number), text="x" * 200)
     log.flush()
     log.flush()
-    # No line is torn by a write that the pipe took in part.
+    # A write that the pipe accepts only in part breaks no line.
     ids = [line["id"] for line in drain(log, reader)]
     assert ids == [str(number) for number in range(MAX_QUEUED)]
     os.close(reader)
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""A request's story from the logs, and choices made again."""
+"""A request's history from the logs, and the replay of logged choices."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway_admission.py
+++ b/tests/test_gateway_admission.py
@@ -1,4 +1,4 @@
-"""Routes, keys, and how old the knowledge of them may be."""
+"""Admission by route and key, and how old the knowledge of them may be."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
 def test_an_answer_is_never_dated_later_than_it_was_made(
     calls: list[tuple[float, float, float]], offset: float
 ) -> None:
-    """``calls`` are the ways there and back, and the time between calls."""
+    """``calls`` are the delays of request and answer, and the time between calls."""
     clock = StoreClock()
     now = 0.0
     for there, back, between in calls:
@@ -144,16 +144,16 @@
 
 
 def test_a_target_received_late_is_required_no_later() -> None:
-    """Hinokuni grown scale-1: old weights 15.3 s after the target's acceptance."""
+    """Else old weights are served 15.3 s after the target's acceptance."""
     knowledge = Knowledge()
     knowledge.adopt(make_declaration())
     knowledge.confirm(5.0)
     knowledge.adopt_target(WeightTarget("m", 2), 7.5)
     assert knowledge.find_possible_version("m", 4.9) == 0
     assert knowledge.find_possible_version("m", 5.0) == 2
-    # What counts in full is told by the time of hearing.
+    # The full requirement counts from the time of receipt.
     assert knowledge.find_required_version("m", 8.0) == 0
-    # After a long time without the store, no longer than the limit.
+    # After a long time without the store, the assumed delay has a limit.
     knowledge.adopt_target(WeightTarget("m", 3), 30.0)
     assert (
         knowledge.find_possible_version("m", 30.0 - MAX_TARGET_DELAY_SECONDS - 0.1) == 2
--- a/tests/test_gateway_dispatch.py
+++ b/tests/test_gateway_dispatch.py
@@ -1,4 +1,4 @@
-"""What becomes of a call, whatever its sends bring."""
+"""Attempts, retries and answers of a call, for any behaviour of the servers."""
 
 from __future__ import annotations
 
@@ -305,7 +305,7 @@
 async def test_a_refusal_without_a_version_while_weights_change_implies_the_target(
     autojump_clock: object,
 ) -> None:
-    """News of a finished load were late: each send asked for the old weights anew."""
+    """Else each attempt asks for the old weights until a delayed update arrives."""
 
     def adopt_target(table: ServerTable, knowledge: Knowledge) -> None:
         knowledge.adopt_target(WeightTarget(MODEL, 2), trio.current_time())
@@ -335,9 +335,9 @@
 
 
 class SlowReply(RecordedReply):
-    """A client that takes the body later than any deadline.
+    """A client that reads the body after any deadline.
 
-    :param is_shielded: whether what is being sent is sent to its end.
+    :param is_shielded: whether sending ignores cancellation by the deadline.
     """
 
     def __init__(self, *, is_shielded: bool) -> None:
@@ -355,10 +355,9 @@
 async def test_an_answer_cut_by_the_deadline_is_finished_or_aborted_once(
     route: Route, is_shielded: bool, autojump_clock: object
 ) -> None:
-    """The deadline passes while a client takes an answer that came in time.
+    """The deadline passes while a client reads an answer that came in time.
 
-    Evidence: looked for after an incident in which calls were given up without an
-    answer; a reply that the deadline cut was neither complete nor aborted.
+    The reply that the deadline cut was neither complete nor aborted.
     """
     reply = SlowReply(is_shielded=is_shielded)
     result = await run_call(Answer(), route=route, reply=reply)
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Waiting for a place at a backend server."""
+"""Reservations of backend servers, and the requests that wait for one."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StrideClock(trio.abc.Clock):
-    """A clock that goes on a little with each look at it."""
+    """A clock that advances by 1 ms with each reading."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -37,10 +37,9 @@
 
 
 def test_a_wait_ends_if_its_deadline_passes_between_clock_reads():
-    """A call once failed with 500: it computed a wait of less than no time.
+    """The clock was read twice, and the second reading gave a negative wait.
 
-    The log of a busy instance held "`seconds` must be non-negative" for it, and
-    nothing had been sent.
+    The call failed with 500 ("`seconds` must be non-negative") without an attempt.
     """
 
     async def wait() -> None:
@@ -55,7 +54,7 @@
 async def test_requests_waiting_for_full_engines_share_one_search(
     autojump_clock: object,
 ) -> None:
-    """Each of ten looked for all ten, 33 times a second: 3,300 looks at 117 engines."""
+    """Else each of ten searches for all ten 33 times a second: 3,300 searches."""
     reservations = make_reservations(make_table(make_server("a", slots=1)))
     searches = 0
     reserve = reservations._try_reserve
@@ -81,7 +80,7 @@
             nursery.start_soon(take, number)
         await trio.sleep(1.0)
         assert searches < 100
-        # All get one as soon as places are free, in turn.
+        # All get a reservation, one after the other, as servers become free.
         reservations.release(first)
         await trio.sleep(0.05)
         for _ in range(9):
@@ -113,7 +112,7 @@
 async def test_a_request_is_refused_at_once_if_no_server_can_take_it_in_time(
     autojump_clock: object,
 ) -> None:
-    """It would be held until its wait is over, and be refused then."""
+    """Else it waits for the whole of its time and is refused then."""
     reservations = make_reservations(make_table(make_server("a"), make_server("b")))
     states = reservations.table.by_id
     states["a"].backoff_until, states["b"].backoff_until = 5.0, 3.0
@@ -121,7 +120,7 @@
     assert await reservations.reserve(demand, 1, 2.0) is None
     assert trio.current_time() == 0.0
     assert reservations.find_retry_time(demand, 0.0) == 3.0
-    # One of them returns before the wait is over.
+    # The backoff of one server ends before the wait does.
     assert await reservations.reserve(demand, 1, 4.0) is not None
     assert 3.0 <= trio.current_time() < 3.1
 
@@ -137,7 +136,7 @@
 async def test_a_server_with_a_rate_limit_is_home_to_no_prompt_part(
     autojump_clock: object,
 ) -> None:
-    """All requests that share the part would be read where few of them may go."""
+    """Else the shared part is cached where few of the requests may be sent."""
     names = ("a", "b", "c", "d")
     reservations = make_reservations(make_table(*(make_server(name) for name in names)))
     demand = make_demand(make_prompt())
@@ -153,7 +152,7 @@
 async def test_a_request_without_a_permit_gets_a_short_retry_time(
     autojump_clock: object,
 ) -> None:
-    """This instance asks again after a long pause; another may have one before."""
+    """This instance's own pause is long, but another instance may get a permit."""
     reservations = make_reservations(make_table(make_server("a")))
     reservations.table.by_id["a"].permit_pause_until = 15.0
     demand = make_demand(make_prompt())
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -1,4 +1,4 @@
-"""How fast engines are brought up, and what is cut or closed meanwhile."""
+"""How fast a rollout proceeds, and which streams it cuts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 async def test_streams_are_cut_once_the_non_resumable_requests_have_ended(
     autojump_clock: object,
 ) -> None:
-    """An order that finds both waits for the longest stream, 5 s, with no request."""
+    """Else the order waits for the longest stream, 5 s, on an idle engine."""
     fleet = Fleet(1, engines=1)
     state = fleet.tables[0].by_id["s0"]
     state.load = Load(5, bound=1)
@@ -85,7 +85,7 @@
 async def test_no_stream_is_cut_before_delayed_updates_have_arrived(
     autojump_clock: object,
 ) -> None:
-    """Grown Khangai scale-1: 735 answers were cut, of requests sent moments before."""
+    """Else requests sent moments before are cut: 735 answers in a large fleet."""
     fleet = Fleet(1, engines=1)
     fleet.controllers[0]._measure_update_lag = lambda: 1.2
     state = fleet.tables[0].by_id["s0"]
@@ -106,7 +106,7 @@
 async def test_instances_without_the_lease_check_less_often(
     autojump_clock: object,
 ) -> None:
-    """Each of 195 looked at all servers, and ranked all members, ten times a second."""
+    """Each of 195 checked all servers, and ranked all members, ten times a second."""
     fleet = Fleet(8, engines=4)
     fleet.engines.load_seconds = 3.0
     checks = dict.fromkeys(range(8), 0)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""One instance at a time brings engines to the declared weights."""
+"""One instance at a time, holding a lease, updates the weights of engines."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 async def test_a_lease_that_expired_long_ago_is_taken_over_at_once(
     autojump_clock: object,
 ) -> None:
-    """The store's clock tells how long ago the lease was last renewed."""
+    """By the store's clock the lease was last renewed long ago."""
     fleet = Fleet(4)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
@@ -95,7 +95,7 @@
         fleet.name_version(3)
         await run_until_current(fleet, 3, 10.0)
         nursery.cancel_scope.cancel()
-    # Engines that had not begun with version 2 never load it.
+    # Engines that had not started to load version 2 never load it.
     assert sum(sent.order.version == 2 for sent in fleet.engines.orders) == 2
 
 
@@ -186,10 +186,10 @@
 async def test_streams_are_not_cut_beside_a_request_that_arrived_during_a_report(
     autojump_clock: object,
 ) -> None:
-    """The engine's report takes a while, and so may news of others' requests.
+    """A request, or an update on one, arrives between the decision and the order.
 
-    Evidence: looked for after an incident in which a close was decided before, and
-    carried out after, another task had taken up work; the order cut the request.
+    Streams were to be cut by a decision made before the engine's report was awaited, so
+    that the order cut the new request too.
     """
     fleet = Fleet(1, engines=1)
     state = fleet.tables[0].by_id["s0"]
@@ -221,10 +221,9 @@
 async def test_weights_that_crash_engines_are_not_ordered_again_and_again(
     autojump_clock: object,
 ) -> None:
-    """Each engine that loads a version ends, and is back with the one before.
+    """Each engine that loads a version crashes and restarts with the previous one.
 
-    Looked for after requests that ended servers: nothing outlived an order either. In a
-    minute 48 engines ended under it; with a count of ends by order 6 do.
+    Without a count of crashes by order, 48 engines crash within a minute; with it, 6.
     """
     fleet = Fleet(3)
     fleet.engines.deadly_version = 2
@@ -233,7 +232,7 @@
         fleet.name_version(2)
         await trio.sleep(60.0)
         assert fleet.engines.ends <= 10
-        # Other weights are another order.
+        # Crashes count for one version only.
         fleet.name_version(3)
         assert await run_until_current(fleet, 3, 20.0) < 10.0
         nursery.cancel_scope.cancel()
