--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -141,12 +141,12 @@
 
 
 def make_reservations(
-    table: ServerTable, holdings: CacheIndex | None = None, required: int = 0
+    table: ServerTable, cache_index: CacheIndex | None = None, required: int = 0
 ) -> ReservationQueue:
     declaration = make_declaration()
     return ReservationQueue(
         table,
-        holdings or CacheIndex(),
+        cache_index or CacheIndex(),
         CacheStores(),
         "north",
         lambda: declaration,
@@ -181,7 +181,7 @@
 def make_quarantine(
     log: DecisionLog | None = None,
     store: MemoryStore | None = None,
-    tell: Callable[[Sequence[ServerCrash]], None] = lambda ends: None,
+    send_crashes: Callable[[Sequence[ServerCrash]], None] = lambda crashes: None,
     list_instances: Callable[[], Sequence[str]] = lambda: (),
     measure_hazard: Callable[[], float] = lambda: 0.0,
 ) -> Quarantine:
@@ -194,7 +194,7 @@
         log,
         GatewayMetrics(),
         InvalidRows(log),
-        tell,
+        send_crashes,
         lambda: True,
         list_instances,
     )
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -248,7 +248,7 @@
 class CrashRecorder:
     def __init__(self) -> None:
         self.crashes: list[ServerCrash] = []
-        self.quarantine = make_quarantine(tell=self.crashes.extend)
+        self.quarantine = make_quarantine(send_crashes=self.crashes.extend)
 
     def take_server_ids(self) -> list[str]:
         names = [crash.server_id for crash in self.crashes]
@@ -509,7 +509,7 @@
     assert [key for table, key in store.rows if table == QUARANTINE_TABLE]
     async with trio.open_nursery() as nursery:
         recorder = CrashRecorder()
-        other = make_quarantine(store=store, tell=recorder.crashes.extend)
+        other = make_quarantine(store=store, send_crashes=recorder.crashes.extend)
         nursery.start_soon(other.run)
         await trio.sleep(3.0)
         assert other.classify(FINGERPRINT) is QuarantineState.QUARANTINED
