--- a/ashpond/gateway/reservations.py
+++ b/ashpond/gateway/reservations.py
@@ -218,8 +218,8 @@
         if chosen is None:
             return None
         state = states[chosen.id]
-        found = max(chosen.cached_tokens, chosen.fetch_tokens)
-        load = make_load(demand, found)
+        available = max(chosen.cached_tokens, chosen.fetch_tokens)
+        load = make_load(demand, available)
         state.load = state.load.add(load)
         best = [entry.candidate for entry in scored[:LOGGED_CANDIDATES]]
         if chosen not in best:
@@ -230,7 +230,7 @@
         salt = sources.salts[chosen.id]
         source = sources.choose(state.info)
         address = source.address if source else None
-        is_missing = found < count_shared_tokens(demand.prompt)
+        is_missing = available < count_shared_tokens(demand.prompt)
         store = self.stores.pick(demand.prompt, demand.cache_namespace)
         if is_missing and store is not None and not store.is_complete:
             # An instance that has just started knows only what is saved from now on;
@@ -238,14 +238,14 @@
             address = store.store.address
         elif is_missing and address is None:
             address = self._guess_source(states, sources, demand, chosen)
-        saves = store is not None and store.plan_save(salt, demand.prompt, now)
+        is_saved = store is not None and store.plan_save(salt, demand.prompt, now)
         return reservation._replace(
             weights_version=state.weights.get(demand.model),
             salt=salt,
             fetch_from=address,
             cached_tokens=chosen.cached_tokens,
             fetch_tokens=chosen.fetch_tokens,
-            save_to=store.store.address if saves and store else None,
+            save_to=store.store.address if is_saved and store else None,
         )
 
     def _sample_servers(
@@ -266,16 +266,16 @@
         ):
             return states
         matching_ids: Collection[str] = states
-        found: set[str] = set()
+        preferred: set[str] = set()
         if demand.prompt is not None:
             matching_ids = set(
                 self._list_matching(states, demand.prompt, demand.service)
             )
-            found = self._find_preferred(states, matching_ids, sources, demand)
+            preferred = self._find_preferred(states, matching_ids, sources, demand)
         others = [name for name in states if name not in matching_ids]
-        drawn = found | sample_servers((sorted(matching_ids), others), self._rng)
+        sampled = preferred | sample_servers((sorted(matching_ids), others), self._rng)
         # In a fixed order, so that the same random numbers lead to the same choice.
-        return [name for name in states if name in drawn]
+        return [name for name in states if name in sampled]
 
     def _find_preferred(
         self,
@@ -301,9 +301,9 @@
         self, states: Mapping[str, ServerState], prompt: Prompt, service: str
     ) -> list[str]:
         """Return the usable servers that are reserved for prompts of this size."""
-        there = [s.info.id for s in self.table.list_service(service) if s.is_present()]
+        ids = [s.info.id for s in self.table.list_service(service) if s.is_present()]
         matching = [
-            name for name in select_by_prompt_size(prompt, there) if name in states
+            name for name in select_by_prompt_size(prompt, ids) if name in states
         ]
         return matching or list(states)
 
--- a/ashpond/gateway/rollouts.py
+++ b/ashpond/gateway/rollouts.py
@@ -109,7 +109,7 @@
             invalid_rows or InvalidRows(log),
         )
         self._has_service = has_service
-        self._ordering: set[str] = set()
+        self._updating: set[str] = set()
         self._order_crashes = OrderCrashes()
         self._order_counts: dict[str, int] = {}
         self._paused_until: dict[str, float] = {}
@@ -150,8 +150,8 @@
 
     def _choose_check_interval(self) -> float:
         """Return the time to the next check: longer for ranks that rarely contend."""
-        is_near = self.lease.is_holder or self._order_lease.find_own_rank() == 0
-        return HOLDER_CHECK_SECONDS if is_near else STANDBY_CHECK_SECONDS
+        may_order_soon = self.lease.is_holder or self._order_lease.find_own_rank() == 0
+        return HOLDER_CHECK_SECONDS if may_order_soon else STANDBY_CHECK_SECONDS
 
     def note_change(self) -> None:
         """Wake the controller after a change of targets or servers."""
@@ -179,7 +179,7 @@
         waiting = [
             update
             for update in updates
-            if update.state.info.id not in self._ordering
+            if update.state.info.id not in self._updating
             and now >= self._paused_until.get(update.state.info.id, 0.0)
             and not (
                 update.state.connect_failures and now < update.state.excluded_until
@@ -187,14 +187,14 @@
             and now >= update.state.backoff_until
         ]
         waiting.sort(key=lambda update: self._table.sum_load(update.state.info.id, now))
-        slots_left = self._count_loading_slots(now) - len(self._ordering)
-        if not self._ordering and self._measure_lag(now) > SLOT_WAIT_SECONDS:
+        slots_left = self._count_loading_slots(now) - len(self._updating)
+        if not self._updating and self._measure_lag(now) > SLOT_WAIT_SECONDS:
             slots_left = max(slots_left, 1)
         for update in waiting[: max(0, slots_left)]:
             limit = self._order_crashes.limit_loads(update.model, update.version, now)
-            if limit is not None and len(self._ordering) >= limit:
+            if limit is not None and len(self._updating) >= limit:
                 continue
-            self._ordering.add(update.state.info.id)
+            self._updating.add(update.state.info.id)
             nursery.start_soon(self._update_weights, update)
 
     def _measure_lag(self, now: float) -> float:
@@ -210,7 +210,7 @@
             if state.is_present()
             and not state.connect_failures
             and not state.is_limited
-            and (state.is_usable(now) or state.info.id in self._ordering)
+            and (state.is_usable(now) or state.info.id in self._updating)
         ]
         return count_loading_slots(len(engines), len(active))
 
@@ -224,21 +224,21 @@
             # Nothing may be awaited between its last check and the order: its decision
             # would not hold for requests that arrive meanwhile.
             cuts_runs = await self._await_bound_requests(update, started)
-            execution = await self._send_order(update, cuts_runs)
-            is_up = execution is not OrderExecution.NO and await self._await_weights(
+            result = await self._send_order(update, cuts_runs)
+            is_loaded = result is not OrderExecution.NO and await self._await_weights(
                 update, trio.current_time()
             )
-            if is_up:
+            if is_loaded:
                 self._order_crashes.note_loaded(update.model, update.version)
-            elif execution is OrderExecution.YES and self._has_crashed(update.state):
+            elif result is OrderExecution.YES and self._has_crashed(update.state):
                 now = trio.current_time()
                 self._order_crashes.note_crash(update.model, update.version, now)
-            if not is_up and self._table.is_current(update.state):
+            if not is_loaded and self._table.is_current(update.state):
                 self._paused_until[server_id] = (
                     trio.current_time() + FAILED_ORDER_PAUSE_SECONDS
                 )
         finally:
-            self._ordering.discard(server_id)
+            self._updating.discard(server_id)
             self._excluded_at.pop(server_id, None)
             update.state.readmit()
             version = update.state.weights.get(update.model, 0)
