--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -47,8 +47,8 @@
 
 if TYPE_CHECKING:
     from ashpond.decisions.declared import Declaration, Team
+    from ashpond.fleet.members import Members
     from ashpond.gateway.decisionlog import DecisionLog
-    from ashpond.news.members import Members
 
 INCARNATION_BYTES = 4
 MAX_FRAME_BYTES = 1 << 20
--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -12,8 +12,8 @@
 from ashpond.decisions.budget import AttemptCounts, FleetRetryBudget
 
 if TYPE_CHECKING:
+    from ashpond.fleet.exchange import Newsroom
     from ashpond.gateway.settings import GatewayBounds
-    from ashpond.news.room import Newsroom
 
 
 class RetryBudgets:
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -20,11 +20,11 @@
 from ashpond.decisions.allowances import AccruedTime, TimeSpan, rank_coordinators
 from ashpond.decisions.fleetlinks import Member
 from ashpond.errors import FrameError
-from ashpond.news.links import PEER_ERRORS
+from ashpond.fleet.links import PEER_ERRORS
 
 if TYPE_CHECKING:
+    from ashpond.fleet.members import Members
     from ashpond.gateway.decisionlog import DecisionLog
-    from ashpond.news.members import Members
 
 # How long a request waits for an answer, which usually takes a few ms (seconds).
 ANSWER_SECONDS = 0.5
--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -16,7 +16,7 @@
     update_limit,
     update_limit_from_peer,
 )
-from ashpond.news.items import MAX_CLOSED_SECONDS, LimitNotice, ServerNotice
+from ashpond.fleet.updates import MAX_CLOSED_SECONDS, LimitNotice, ServerNotice
 
 if TYPE_CHECKING:
     from ashpond.controllers.directory import ServerState, ServerTable
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -15,16 +15,16 @@
     WatchedServer,
 )
 from ashpond.controllers.directory import ServerState, ServerTable, StartOrder
-from ashpond.news.items import ServerNotice
+from ashpond.fleet.updates import ServerNotice
 
 if TYPE_CHECKING:
     from ashpond.clients.channels import ChannelPool
     from ashpond.controllers.serverdirectives import ServerDirectives
     from ashpond.decisions.cacheindex import CacheEntry, CacheIndex
     from ashpond.decisions.prompts import Prompt
+    from ashpond.fleet.exchange import Newsroom
     from ashpond.gateway.decisionlog import DecisionLog
     from ashpond.gateway.rollouts import RolloutController
-    from ashpond.news.room import Newsroom
 
 
 class ServerUpdates:
--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -19,10 +19,10 @@
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.decisions.declared import Declaration, WeightTarget
 from ashpond.decisions.knowledge import Knowledge
+from ashpond.fleet.members import MEMBERS_TABLE, Members
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.ports import Platform
 from ashpond.gateway.store import InvalidRow, Row, Snapshot, StoreClock
-from ashpond.news.members import MEMBERS_TABLE, Members
 
 # How long a call for operators' rows is held open, as a share of the revocation bound
 # (1.7 s of 5 s). Its answer also confirms that nothing newer exists: with the time that
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -39,6 +39,7 @@
     build_engine_port,
     make_address,
 )
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.callprogress import DispatchContext
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.dispatch import Dispatcher
@@ -46,7 +47,6 @@
 from ashpond.gateway.reservations import ReservationQueue
 from ashpond.gateway.rollouts import RolloutController
 from ashpond.gateway.store import StoreClock
-from ashpond.news.items import ServerNotice
 from ashpond.standins.tables import MemoryStore
 
 SERVICE = "engines"
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/world.py
@@ -24,9 +24,9 @@
 from ashpond.emulator.permits import EmulatedKeeper
 from ashpond.emulator.scenarios import Crash, EngineStatement, RequestKind, Scenario
 from ashpond.emulator.wire import EmulatedPool, Memo
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.admission import AcceptedCall
 from ashpond.gateway.calls import Envelope, Headers, IncomingCall
-from ashpond.news.items import ServerNotice
 from ashpond.standins.tables import MemoryStore
 
 WALL = "shared"
--- a/ashpond/news/room.py
+++ b/ashpond/fleet/exchange.py
@@ -30,19 +30,12 @@
 )
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.errors import FrameError
-from ashpond.gateway.decisionlog import DecisionLog
-from ashpond.news.connecting import MAX_FRAME_BYTES, keep_connected
-from ashpond.news.fleetview import FleetView, Scope, Source, Work
-from ashpond.news.items import (
-    Digest,
-    NewsHandlers,
-    ServerNotice,
-    decode_changes,
-    decode_ends,
-    decode_news,
-    decode_notices,
+from ashpond.fleet.intervals import (
+    GROUP_LAG_SECONDS,
+    HEARTBEAT_SECONDS,
+    choose_pause,
 )
-from ashpond.news.links import (
+from ashpond.fleet.links import (
     PEER_ERRORS,
     Audience,
     Link,
@@ -56,13 +49,20 @@
     receive_news,
     strip_life,
 )
-from ashpond.news.members import Members
-from ashpond.news.pace import (
-    GROUP_LAG_SECONDS,
-    HEARTBEAT_SECONDS,
-    choose_pause,
+from ashpond.fleet.members import Members
+from ashpond.fleet.reconnection import MAX_FRAME_BYTES, keep_connected
+from ashpond.fleet.sending import send_digest, send_urgent
+from ashpond.fleet.updates import (
+    Digest,
+    NewsHandlers,
+    ServerNotice,
+    decode_changes,
+    decode_ends,
+    decode_news,
+    decode_notices,
 )
-from ashpond.news.sending import send_digest, send_urgent
+from ashpond.fleet.view import FleetView, Scope, Source, Work
+from ashpond.gateway.decisionlog import DecisionLog
 
 LIFE_BYTES = 4
 
--- a/ashpond/news/links.py
+++ b/ashpond/fleet/links.py
@@ -37,8 +37,8 @@
 from ashpond.decisions.fleetlinks import Links, Member
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.errors import FrameError
-from ashpond.news.fleetview import Scope, Work
-from ashpond.news.items import ServerNotice
+from ashpond.fleet.updates import ServerNotice
+from ashpond.fleet.view import Scope, Work
 
 # For a peer that is away; what it misses costs it some reading (entries).
 MAX_PENDING_HOLDINGS = 500
--- a/ashpond/news/connecting.py
+++ b/ashpond/fleet/reconnection.py
@@ -9,11 +9,11 @@
 import trio
 
 from ashpond.clients.peer import PeerStream, connect_peer
+from ashpond.fleet.intervals import RECONNECT_LIMIT_SECONDS, RECONNECT_SECONDS
+from ashpond.fleet.links import PEER_ERRORS, Link
+from ashpond.fleet.members import Members
+from ashpond.fleet.sending import SEND_SECONDS
 from ashpond.gateway.decisionlog import DecisionLog
-from ashpond.news.links import PEER_ERRORS, Link
-from ashpond.news.members import Members
-from ashpond.news.pace import RECONNECT_LIMIT_SECONDS, RECONNECT_SECONDS
-from ashpond.news.sending import SEND_SECONDS
 
 MAX_FRAME_BYTES = 1 << 20
 
--- a/ashpond/news/sending.py
+++ b/ashpond/fleet/sending.py
@@ -8,15 +8,15 @@
 
 from ashpond.clients.peer import PeerStream
 from ashpond.errors import FrameError
-from ashpond.news.fleetview import Work
-from ashpond.news.items import (
+from ashpond.fleet.links import SCOPES, Link
+from ashpond.fleet.updates import (
     Digest,
     encode_changes,
     encode_ends,
     encode_news,
     encode_notices,
 )
-from ashpond.news.links import SCOPES, Link
+from ashpond.fleet.view import Work
 
 # A peer that does not take a frame within this is connected to anew (seconds).
 SEND_SECONDS = 1.0
--- a/ashpond/news/items.py
+++ b/ashpond/fleet/updates.py
@@ -39,8 +39,8 @@
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.errors import FrameError
+from ashpond.fleet.view import Scope, Work
 from ashpond.gateway.store import Row
-from ashpond.news.fleetview import Scope, Work
 
 # Far more than any server is closed for; one that is told to be closed for ever would
 # get nothing again (seconds).
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -25,6 +25,9 @@
 from ashpond.decisions.fleetlinks import Member
 from ashpond.decisions.quarantine import CrashRecords
 from ashpond.errors import SettingsError
+from ashpond.fleet.exchange import Newsroom
+from ashpond.fleet.members import Members
+from ashpond.fleet.updates import NewsHandlers
 from ashpond.gateway.admission import admit_call
 from ashpond.gateway.callprogress import DispatchContext, compute_fingerprint
 from ashpond.gateway.calls import IncomingCall, Reply
@@ -41,9 +44,6 @@
 from ashpond.gateway.settings import GatewaySettings, SettingsFile
 from ashpond.gateway.signals import watch_signals
 from ashpond.gateway.status import render_status
-from ashpond.news.items import NewsHandlers
-from ashpond.news.members import Members
-from ashpond.news.room import Newsroom
 from ashpond.outcomes import Refusal
 from ashpond.runtimeclock import SuspensionWatch
 
--- a/ashpond/gateway/rollouts.py
+++ b/ashpond/gateway/rollouts.py
@@ -16,6 +16,7 @@
 from ashpond.decisions.leases import Lease, make_lease_terms
 from ashpond.decisions.loadingslots import count_loading_slots
 from ashpond.decisions.ordercrashes import OrderCrashes
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.orders import (
     EnginePort,
@@ -26,7 +27,6 @@
     WeightsOrder,
 )
 from ashpond.gateway.store import Store, StoreClock
-from ashpond.news.items import ServerNotice
 from ashpond.outcomes import MaybeRun, NotRun
 
 # Loads wait until enough engines are usable, but at most this long (seconds).
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -16,8 +16,8 @@
 from ashpond.decisions.allowances import Allowance, AllowanceBounds, AllowanceUnit
 from ashpond.decisions.declared import Declaration, Team
 from ashpond.decisions.fleetlinks import Member
+from ashpond.fleet.links import await_end
 from ashpond.gateway.decisionlog import DecisionLog
-from ashpond.news.links import await_end
 from ashpond.outcomes import Refusal
 from tests.gateway_builders import KEY, make_declaration, make_server, make_table
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,6 +9,7 @@
 from ashpond.controllers.directory import BackendServer, ServerTable
 from ashpond.decisions.declared import WeightTarget
 from ashpond.decisions.knowledge import Knowledge
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.orders import (
     CacheEvents,
@@ -23,7 +24,6 @@
     RolloutController,
 )
 from ashpond.gateway.store import StoreClock
-from ashpond.news.items import ServerNotice
 from ashpond.outcomes import MaybeRun, NotRun
 from ashpond.standins.tables import MemoryStore
 from tests.gateway_builders import MODEL, make_server, make_table
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -11,9 +11,9 @@
 from ashpond.controllers.permits import Permits
 from ashpond.controllers.serverdirectives import ServerDirectives
 from ashpond.decisions.ratelimits import PERMIT_SECONDS
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.calls import AnswerHeaders
 from ashpond.gateway.decisionlog import DecisionLog
-from ashpond.news.items import ServerNotice
 from tests.allowance_fleet import LATENCY_SECONDS, LIMITED_SERVER, Fleet, FleetInstance
 from tests.directives import (
     LIMIT_SETTLED_SECONDS,
--- a/tests/newsroom.py
+++ b/tests/peer_fleet.py
@@ -13,12 +13,12 @@
 from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS, Member
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerCrash
+from ashpond.fleet.exchange import Newsroom
+from ashpond.fleet.links import Audience
+from ashpond.fleet.members import MEMBERS_TABLE, Members
+from ashpond.fleet.updates import NewsHandlers, ServerNotice
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import StoreClock
-from ashpond.news.items import NewsHandlers, ServerNotice
-from ashpond.news.links import Audience
-from ashpond.news.members import MEMBERS_TABLE, Members
-from ashpond.news.room import Newsroom
 from ashpond.standins.tables import MemoryStore
 from tests.gateway_builders import make_server, make_table
 
--- a/tests/row_builders.py
+++ b/tests/row_builders.py
@@ -12,9 +12,9 @@
 from ashpond.controllers.invalidrows import InvalidRows
 from ashpond.controllers.storeview import StoreView, build_feeds
 from ashpond.decisions.fleetlinks import Member
+from ashpond.fleet.members import Members
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import Row
-from ashpond.news.members import Members
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.composition import build_platform
 
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -30,17 +30,17 @@
 from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.declared import CacheStore
 from ashpond.errors import FrameError
-from ashpond.gateway.store import Row
-from ashpond.news.items import (
+from ashpond.fleet.updates import (
     MAX_CLOSED_SECONDS,
     decode_changes,
     decode_news,
     decode_notices,
 )
+from ashpond.gateway.store import Row
 from ashpond_platform.engines import decode_cache_events, decode_report
 from ashpond_platform.store import decode_body
 from tests.damage import damage, values
-from tests.newsroom import make_news
+from tests.peer_fleet import make_news
 
 REPORT = {"models": [{"name": "m", "version": 1}], "busy": False, "seq": 2, "born": 5}
 EVENTS = {
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -20,13 +20,13 @@
 from ashpond.controllers.orderlease import LEASE_TABLE, make_lease_key
 from ashpond.decisions.declared import Declaration, WeightTarget
 from ashpond.decisions.leases import Lease, LeaseRow
-from ashpond.gateway.store import InvalidRow, Row
-from ashpond.news.members import (
+from ashpond.fleet.members import (
     SECRET_KEY,
     SECRET_TABLE,
     decode_member_row,
     decode_secret,
 )
+from ashpond.gateway.store import InvalidRow, Row
 from ashpond_platform.rows import decode_operator_row, decode_server_row
 from tests.damage import damage
 from tests.fleet import Fleet, run_until_current
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -23,13 +23,13 @@
 from ashpond.controllers.storeview import RESTORE_SECONDS
 from ashpond.decisions.fleetlinks import Member
 from ashpond.decisions.leases import Lease, make_lease_terms
-from ashpond.gateway.decisionlog import DecisionLog
-from ashpond.gateway.store import Row, StoreClock, StoreEra
-from ashpond.news.members import (
+from ashpond.fleet.members import (
     MEMBERS_TABLE,
     RETURN_SECONDS as MEMBERS_SECONDS,
     Members,
 )
+from ashpond.gateway.decisionlog import DecisionLog
+from ashpond.gateway.store import Row, StoreClock, StoreEra
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.rows import OPERATOR_TABLE, SERVERS_TABLE
 from ashpond_platform.store import parse_era
--- a/tests/test_news.py
+++ b/tests/test_exchange.py
@@ -15,9 +15,8 @@
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
 from ashpond.errors import FrameError
-from ashpond.news import room as news_module
-from ashpond.news.items import ServerNotice
-from ashpond.news.links import (
+from ashpond.fleet import exchange as exchange_module
+from ashpond.fleet.links import (
     BYTES_PER_MBIT,
     HOLDING_BYTES,
     HOLDINGS_SHARE,
@@ -27,9 +26,10 @@
     Link,
     limit_holdings,
 )
-from ashpond.news.members import Members
+from ashpond.fleet.members import Members
+from ashpond.fleet.updates import ServerNotice
 from ashpond.standins.tables import MemoryStore
-from tests.newsroom import Instance, wait_for
+from tests.peer_fleet import Instance, wait_for
 from tests.ports import LISTENING_PORTS, find_free_port
 
 
@@ -135,7 +135,7 @@
 ) -> None:
     """A connection may go silent for good without a reset, while new ones work."""
     ends: list[str] = []
-    for end, module in (("connects", peer), ("accepts", news_module)):
+    for end, module in (("connects", peer), ("accepts", exchange_module)):
 
         def note(sock: trio.socket.SocketType, end: str = end) -> None:
             watch_liveness(sock)
--- a/tests/test_news_groups.py
+++ b/tests/test_exchange_groups.py
@@ -14,13 +14,13 @@
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import READER_GROUPS, Member
 from ashpond.decisions.loads import Load
+from ashpond.fleet.intervals import GROUP_NEWS_SECONDS, HEARTBEAT_SECONDS, NEWS_SECONDS
+from ashpond.fleet.links import Audience, Link
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.store import Row
-from ashpond.news.items import ServerNotice
-from ashpond.news.links import Audience, Link
-from ashpond.news.pace import GROUP_NEWS_SECONDS, HEARTBEAT_SECONDS, NEWS_SECONDS
 from ashpond.standins.tables import MemoryStore
 from tests.gateway_builders import make_crash
-from tests.newsroom import Instance, wait_for
+from tests.peer_fleet import Instance, wait_for
 from tests.ports import find_free_port
 
 
--- a/tests/test_gateway_ingress.py
+++ b/tests/test_gateway_ingress.py
@@ -27,7 +27,7 @@
 from ashpond_platform.composition import build_platform
 from ashpond_platform.rows import OPERATOR_TABLE, SERVERS_TABLE
 from tests.gateway_builders import make_settings
-from tests.newsroom import wait_for
+from tests.peer_fleet import wait_for
 from tests.row_builders import CONFIGURATION, ROUTE, SERVER
 from tests.servers import make_answer, read_request, run_server
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -36,9 +36,9 @@
     ServerCrash,
 )
 from ashpond.errors import FrameError
+from ashpond.fleet.updates import decode_ends
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import InvalidRow, Row
-from ashpond.news.items import decode_ends
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.store import parse_era
 from tests.damage import damage
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -9,12 +9,12 @@
 from ashpond.controllers.orderlease import LEASE_TABLE
 from ashpond.decisions.loadingslots import MANY_LOADING_SHARE
 from ashpond.decisions.loads import Load
+from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.rollouts import (
     BOUND_WAIT_SECONDS,
     HOLDER_CHECK_SECONDS,
     STANDBY_CHECK_SECONDS,
 )
-from ashpond.news.items import ServerNotice
 from tests.fleet import Fleet, run_until_current
 
 
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -20,10 +20,10 @@
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.leases import Lease, make_lease_terms
 from ashpond.decisions.loads import Load
+from ashpond.fleet.view import FleetView, Scope, Source, Work
 from ashpond.gateway.admission import AcceptedCall, admit_call
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import StoreClock
-from ashpond.news.fleetview import FleetView, Scope, Source, Work
 from ashpond.outcomes import Done
 from ashpond.runtimeclock import (
     LOOK_SECONDS,
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -26,10 +26,10 @@
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
 from ashpond.decisions.selection import Demand
+from ashpond.fleet.updates import ServerNotice, decode_news, encode_news
 from ashpond.gateway.application import Gateway
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.settings import SettingsFile
-from ashpond.news.items import ServerNotice, decode_news, encode_news
 from ashpond.standins.tables import MemoryStore
 from ashpond_platform.composition import build_platform
 from ashpond_platform.engines import decode_report
@@ -43,7 +43,7 @@
     make_table,
 )
 from tests.mutants import Mutant, expect_caught
-from tests.newsroom import make_news
+from tests.peer_fleet import make_news
 from tests.row_builders import SERVER, make_row
 
 SALT = "salt"
--- a/tests/test_fleetview.py
+++ b/tests/test_view.py
@@ -6,7 +6,7 @@
 
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.loads import PEER_LOAD_SECONDS, Load
-from ashpond.news.fleetview import (
+from ashpond.fleet.view import (
     HUB_SILENCE_SECONDS,
     SUM_SECONDS,
     FleetView,
