--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -12,7 +12,7 @@
 from ashpond.decisions.budget import AttemptCounts, FleetRetryBudget
 
 if TYPE_CHECKING:
-    from ashpond.fleet.exchange import Newsroom
+    from ashpond.fleet.exchange import PeerExchange
     from ashpond.gateway.settings import GatewayBounds
 
 
@@ -27,7 +27,7 @@
     def __init__(
         self,
         get_bounds: Callable[[], GatewayBounds],
-        get_updates: Callable[[], Newsroom],
+        get_updates: Callable[[], PeerExchange],
         count_instances: Callable[[], int],
     ):
         self.by_service: dict[str, FleetRetryBudget] = {}
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -22,7 +22,7 @@
     from ashpond.controllers.serverdirectives import ServerDirectives
     from ashpond.decisions.cacheindex import CacheEntry, CacheIndex
     from ashpond.decisions.prompts import Prompt
-    from ashpond.fleet.exchange import Newsroom
+    from ashpond.fleet.exchange import PeerExchange
     from ashpond.gateway.decisionlog import DecisionLog
     from ashpond.gateway.rollouts import RolloutController
 
@@ -43,7 +43,7 @@
         crash_detector: CrashDetector,
         log: DecisionLog,
         directives: ServerDirectives,
-        get_news: Callable[[], Newsroom],
+        get_news: Callable[[], PeerExchange],
         get_rollouts: Callable[[], RolloutController],
         wake: Callable[[], None],
     ):
--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Newsroom"]
+__all__ = ["PeerExchange"]
 
 import secrets
 from collections.abc import Sequence
@@ -37,9 +37,9 @@
 )
 from ashpond.fleet.links import (
     PEER_ERRORS,
-    Audience,
     Link,
-    PeerNews,
+    PeerRole,
+    UpdateMessage,
     await_end,
     is_first_reached,
     is_relied_on,
@@ -54,20 +54,20 @@
 from ashpond.fleet.sending import send_digest, send_urgent
 from ashpond.fleet.updates import (
     Digest,
-    NewsHandlers,
     ServerNotice,
+    UpdateHandlers,
     decode_changes,
     decode_ends,
     decode_news,
     decode_notices,
 )
-from ashpond.fleet.view import FleetView, Scope, Source, Work
+from ashpond.fleet.view import FleetView, InstanceLoad, PeerReport, Scope
 from ashpond.gateway.decisionlog import DecisionLog
 
 LIFE_BYTES = 4
 
 
-class Newsroom:
+class PeerExchange:
     """Sends news to other instances and takes theirs."""
 
     def __init__(
@@ -75,7 +75,7 @@
         members: Members,
         table: ServerTable,
         log: DecisionLog,
-        handlers: NewsHandlers,
+        handlers: UpdateHandlers,
         window: float,
         mesh_limit: int = MAX_MESH_MEMBERS,
     ):
@@ -88,7 +88,7 @@
         self._log = log
         self._handlers = handlers
         self._life = f"{self._name}#{secrets.token_hex(LIFE_BYTES)}"
-        self._outgoing: dict[tuple[Audience, Member], Link] = {}
+        self._outgoing: dict[tuple[PeerRole, Member], Link] = {}
         self._own_members: list[Link] = []
         self._counted: set[str] = set()
         self._grouped_at = float("inf")
@@ -171,9 +171,9 @@
         wanted = list_wanted(links, is_hub=self._is_hub)
         for key in self._outgoing.keys() - wanted:
             self._outgoing.pop(key).scope.cancel()
-        for audience, member in sorted(wanted - self._outgoing.keys(), key=str):
-            link = Link(audience, member.name, self._limit_holdings(audience))
-            self._outgoing[audience, member] = link
+        for role, member in sorted(wanted - self._outgoing.keys(), key=str):
+            link = Link(role, member.name, self._limit_holdings(role))
+            self._outgoing[role, member] = link
             self._nursery.start_soon(self._feed_peer, link, member.address)
 
     def _should_act_as_hub(self, now: float) -> bool:
@@ -201,7 +201,7 @@
         """Send news, take those of a hub; return why the connection ended."""
         link.is_connected = True
         try:
-            if link.audience is not Audience.HUB:
+            if link.role is not PeerRole.HUB:
                 return await await_end(lambda: self._send_news(link, stream))
             return await await_end(
                 lambda: self._send_news(link, stream), lambda: self._take_all(stream)
@@ -256,11 +256,11 @@
             return True
         return self._build_work(link, now).loads != link.sent.loads
 
-    def _build_work(self, link: Link, now: float) -> Work:
-        own = Work(self._table.list_own_loads(), self._handlers.list_sends())
-        if link.audience is Audience.OTHER_HUB:
+    def _build_work(self, link: Link, now: float) -> InstanceLoad:
+        own = InstanceLoad(self._table.list_own_loads(), self._handlers.list_sends())
+        if link.role is PeerRole.OTHER_HUB:
             return self.view.sum_group(own, now)
-        if link.audience is Audience.MEMBER:
+        if link.role is PeerRole.MEMBER:
             return self.view.sum_fleet(own, link.name, now)
         return own
 
@@ -269,17 +269,15 @@
 
     def _needs_all(self, link: Link) -> bool:
         """Return whether a peer relies on this link; others need heartbeats only."""
-        if link.audience is Audience.OTHER_HUB:
+        if link.role is PeerRole.OTHER_HUB:
             return is_first_reached(link.name, self.links.other_hubs, self._outgoing)
         hub = self.view.find_hub(trio.current_time())
         return is_relied_on(link, hub, is_hub=self._is_hub)
 
-    def _limit_holdings(self, audience: Audience) -> int:
+    def _limit_holdings(self, role: PeerRole) -> int:
         link_mbps = self.members.own.link_mbps
         groups = len(self.links.other_hubs)
-        return limit_holdings(
-            audience, link_mbps, groups, choose_pause(self.links.group)
-        )
+        return limit_holdings(role, link_mbps, groups, choose_pause(self.links.group))
 
     async def _receive(self, raw: trio.SocketStream) -> None:
         """Take the news of a peer that has connected; answer a group's member."""
@@ -300,7 +298,7 @@
                 await stream.aclose()
         self._log.note("peer_stream_ended", reason=reason)
 
-    async def _hear(self, first: PeerNews, stream: PeerStream) -> str:
+    async def _hear(self, first: UpdateMessage, stream: PeerStream) -> str:
         """Take the news of a peer; return why the connection ended."""
         self._take(first)
         if first.scope == Scope.MEMBER:
@@ -308,8 +306,8 @@
         return await await_end(lambda: self._take_all(stream))
 
     async def _serve_member(self, life: str, stream: PeerStream) -> str:
-        limit = self._limit_holdings(Audience.MEMBER)
-        link = Link(Audience.MEMBER, life, limit)
+        limit = self._limit_holdings(PeerRole.MEMBER)
+        link = Link(PeerRole.MEMBER, life, limit)
         self._own_members.append(link)
         try:
             return await await_end(
@@ -322,7 +320,7 @@
         while True:
             self._take(await receive_news(stream))
 
-    def _take(self, message: PeerNews) -> None:
+    def _take(self, message: UpdateMessage) -> None:
         try:
             if isinstance(message, News):
                 self._take_digest(message.sender, decode_news(message))
@@ -354,7 +352,7 @@
         now = trio.current_time()
         scope = digest.scope
         key = f"group {digest.group}" if scope is Scope.GROUP else sender
-        self.view.note(key, Source(strip_life(sender), scope, now, digest.work))
+        self.view.note(key, PeerReport(strip_life(sender), scope, now, digest.work))
         self._keep_counted(now)
         if key in self._counted:
             self._table.note_peer_loads(key, digest.work.loads, now)
@@ -388,7 +386,7 @@
         links = [link for link in self._own_members if link.name != sender]
         if scope is Scope.MEMBER:
             others = self._outgoing.values()
-            links += [o for o in others if o.audience is Audience.OTHER_HUB]
+            links += [o for o in others if o.role is PeerRole.OTHER_HUB]
         for link in links:
             link.add(notices, holdings, tables, ends)
             if link.is_urgent and self._needs_all(link):
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -4,10 +4,10 @@
 
 __all__ = [
     "PEER_ERRORS",
-    "SCOPES",
-    "Audience",
+    "SCOPE_BY_ROLE",
+    "PeerRole",
     "Link",
-    "PeerNews",
+    "UpdateMessage",
     "await_end",
     "is_first_reached",
     "is_relied_on",
@@ -38,7 +38,7 @@
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.errors import FrameError
 from ashpond.fleet.updates import ServerNotice
-from ashpond.fleet.view import Scope, Work
+from ashpond.fleet.view import InstanceLoad, Scope
 
 # For a peer that is away; what it misses costs it some reading (entries).
 MAX_PENDING_HOLDINGS = 500
@@ -56,7 +56,7 @@
 # The same of ends of servers; a peer that connects anew is told of all (entries).
 MAX_PENDING_ENDS = 500
 # What peers tell of their work and of what they learn.
-PeerNews = News | Notices | ServerEndNews | TableChanges
+UpdateMessage = News | Notices | ServerEndNews | TableChanges
 # Ways in which a connection between instances ends.
 PEER_ERRORS = (
     OSError,
@@ -67,7 +67,7 @@
 )
 
 
-class Audience(Enum):
+class PeerRole(Enum):
     """What a peer is to this instance."""
 
     EQUAL = auto()
@@ -77,24 +77,22 @@
 
 
 # Whose work each is told.
-SCOPES = {
-    Audience.EQUAL: Scope.OWN,
-    Audience.HUB: Scope.MEMBER,
-    Audience.MEMBER: Scope.FLEET,
-    Audience.OTHER_HUB: Scope.GROUP,
+SCOPE_BY_ROLE = {
+    PeerRole.EQUAL: Scope.OWN,
+    PeerRole.HUB: Scope.MEMBER,
+    PeerRole.MEMBER: Scope.FLEET,
+    PeerRole.OTHER_HUB: Scope.GROUP,
 }
 
 
-def limit_holdings(
-    audience: Audience, link_mbps: float, groups: int, turn: float
-) -> int:
+def limit_holdings(role: PeerRole, link_mbps: float, groups: int, turn: float) -> int:
     """Return how many holdings an instance tells a peer in a turn.
 
     :param link_mbps: what its machine's network link carries, 0 if that is not known.
     :param groups: how many other groups there are; about as many members has its own.
     :param turn: the time between two turns (seconds).
     """
-    if audience is Audience.EQUAL:
+    if role is PeerRole.EQUAL:
         return MAX_PENDING_HOLDINGS
     bytes_a_turn = link_mbps * BYTES_PER_MBIT * HOLDINGS_SHARE * turn
     links = 2 * max(1, groups)
@@ -113,16 +111,16 @@
 
     def __init__(
         self,
-        audience: Audience,
+        role: PeerRole,
         name: str,
         max_holdings: int = MAX_PENDING_HOLDINGS,
     ):
-        self.audience = audience
+        self.role = role
         self.name = name
         self.max_holdings = max_holdings
         self.scope = trio.CancelScope()
         self.is_connected = False
-        self.sent: Work | None = None
+        self.sent: InstanceLoad | None = None
         self.sent_at = float("-inf")
         self.is_due = False
         self._signal = trio.Event()
@@ -175,13 +173,13 @@
         del self.holdings[self.max_holdings :]
 
 
-def list_wanted(links: Links, *, is_hub: bool) -> set[tuple[Audience, Member]]:
+def list_wanted(links: Links, *, is_hub: bool) -> set[tuple[PeerRole, Member]]:
     """Return whom an instance links to, and as what."""
-    wanted = {(Audience.EQUAL, member) for member in links.mesh_peers}
-    wanted |= {(Audience.HUB, member) for member in links.preferred_hubs}
+    wanted = {(PeerRole.EQUAL, member) for member in links.mesh_peers}
+    wanted |= {(PeerRole.HUB, member) for member in links.preferred_hubs}
     if is_hub:
         others = [m for candidates in links.other_hubs for m in candidates]
-        wanted |= {(Audience.OTHER_HUB, member) for member in others}
+        wanted |= {(PeerRole.OTHER_HUB, member) for member in others}
     return wanted
 
 
@@ -190,9 +188,9 @@
 
     :param hub: the life of the hub that this instance goes by, if there is one.
     """
-    if link.audience is Audience.MEMBER:
+    if link.role is PeerRole.MEMBER:
         return is_hub
-    if link.audience is Audience.HUB:
+    if link.role is PeerRole.HUB:
         return hub is None or strip_life(hub) == link.name
     return True
 
@@ -200,7 +198,7 @@
 def is_first_reached(
     name: str,
     other_hubs: Iterable[Sequence[Member]],
-    links: Mapping[tuple[Audience, Member], Link],
+    links: Mapping[tuple[PeerRole, Member], Link],
 ) -> bool:
     """Return whether no candidate of its group goes before one that can be reached.
 
@@ -211,7 +209,7 @@
         if name not in names:
             continue
         before = candidates[: names.index(name)]
-        found = [links.get((Audience.OTHER_HUB, member)) for member in before]
+        found = [links.get((PeerRole.OTHER_HUB, member)) for member in before]
         return not any(link and link.is_connected for link in found)
     return True
 
@@ -238,17 +236,17 @@
     return life.rpartition("#")[0]
 
 
-async def receive_news(stream: PeerStream) -> PeerNews:
+async def receive_news(stream: PeerStream) -> UpdateMessage:
     """Return the next news; other messages are passed over."""
     while True:
         message = await stream.receive()
-        if isinstance(message, PeerNews):
+        if isinstance(message, UpdateMessage):
             return message
 
 
-async def receive_first(stream: PeerStream) -> PeerNews | AllowanceAsk:
+async def receive_first(stream: PeerStream) -> UpdateMessage | AllowanceAsk:
     """Return what a peer that has connected begins with."""
     while True:
         message = await stream.receive()
-        if isinstance(message, PeerNews | AllowanceAsk):
+        if isinstance(message, UpdateMessage | AllowanceAsk):
             return message
--- a/ashpond/fleet/sending.py
+++ b/ashpond/fleet/sending.py
@@ -8,7 +8,7 @@
 
 from ashpond.clients.peer import PeerStream
 from ashpond.errors import FrameError
-from ashpond.fleet.links import SCOPES, Link
+from ashpond.fleet.links import SCOPE_BY_ROLE, Link
 from ashpond.fleet.updates import (
     Digest,
     encode_changes,
@@ -16,7 +16,7 @@
     encode_news,
     encode_notices,
 )
-from ashpond.fleet.view import Work
+from ashpond.fleet.view import InstanceLoad
 
 # A peer that does not take a frame within this is connected to anew (seconds).
 SEND_SECONDS = 1.0
@@ -27,7 +27,7 @@
 
     :param life: the sender's.
     """
-    scope = SCOPES[link.audience]
+    scope = SCOPE_BY_ROLE[link.role]
     while link.tables:
         changes = encode_changes(life, scope, link.tables.popleft())
         with trio.fail_after(SEND_SECONDS):
@@ -51,18 +51,18 @@
     ends = list(link.ends)
     link.ends.clear()
     with trio.fail_after(SEND_SECONDS):
-        await stream.send(encode_ends(life, SCOPES[link.audience], ends))
+        await stream.send(encode_ends(life, SCOPE_BY_ROLE[link.role], ends))
 
 
 async def send_digest(
-    life: str, group: str, link: Link, stream: PeerStream, work: Work
+    life: str, group: str, link: Link, stream: PeerStream, work: InstanceLoad
 ) -> None:
     """Tell the work, and with it the notices and holdings that wait.
 
     :param life: the sender's, of the group ``group``.
     """
     notices, holdings = link.take()
-    digest = Digest(SCOPES[link.audience], group, work, notices, holdings)
+    digest = Digest(SCOPE_BY_ROLE[link.role], group, work, notices, holdings)
     news = encode_news(life, digest)
     try:
         with trio.fail_after(SEND_SECONDS):
--- a/ashpond/fleet/updates.py
+++ b/ashpond/fleet/updates.py
@@ -6,7 +6,7 @@
     "MAX_CLOSED_SECONDS",
     "Digest",
     "LimitNotice",
-    "NewsHandlers",
+    "UpdateHandlers",
     "ServerNotice",
     "decode_changes",
     "decode_ends",
@@ -39,7 +39,7 @@
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerCrash
 from ashpond.errors import FrameError
-from ashpond.fleet.view import Scope, Work
+from ashpond.fleet.view import InstanceLoad, Scope
 from ashpond.gateway.store import Row
 
 # Far more than any server is closed for; one that is told to be closed for ever would
@@ -89,12 +89,12 @@
 
     scope: Scope
     group: str
-    work: Work
+    work: InstanceLoad
     notices: list[ServerNotice]
     holdings: list[CacheEntry]
 
 
-class NewsHandlers(NamedTuple):
+class UpdateHandlers(NamedTuple):
     """What is done with the news of others, and what is told of this instance.
 
     ``on_ends`` gets the ends that a sender tells of and returns those that are new;
@@ -145,7 +145,7 @@
         return Digest(
             Scope(news.scope),
             news.group,
-            Work(
+            InstanceLoad(
                 convert_table(news.loads, Load),
                 convert_table(news.sends, AttemptCounts),
             ),
--- a/ashpond/fleet/view.py
+++ b/ashpond/fleet/view.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["FleetView", "Scope", "Source", "Work"]
+__all__ = ["FleetView", "Scope", "PeerReport", "InstanceLoad"]
 
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
@@ -33,17 +33,17 @@
     FLEET = "fleet"
 
 
-class Work(NamedTuple):
+class InstanceLoad(NamedTuple):
     """Work in flight by backend server, and sends of late by service."""
 
     loads: dict[str, Load]
     sends: dict[str, AttemptCounts]
 
 
-NO_WORK = Work({}, {})
+NO_WORK = InstanceLoad({}, {})
 
 
-class Source(NamedTuple):
+class PeerReport(NamedTuple):
     """The last that one life of a peer told.
 
     ``peer`` is its name without its life, ``heard_at`` on this process's clock.
@@ -52,7 +52,7 @@
     peer: str
     scope: Scope
     heard_at: float
-    work: Work
+    work: InstanceLoad
 
 
 class FleetView:
@@ -63,7 +63,7 @@
 
     def __init__(self, window: float):
         self.window = window
-        self._sources: dict[str, Source] = {}
+        self._sources: dict[str, PeerReport] = {}
         self._hubs: tuple[str, ...] = ()
         self._group = _Total((Scope.MEMBER,), window)
         self._fleet = _Total((Scope.MEMBER, Scope.GROUP, Scope.OWN), window)
@@ -72,7 +72,7 @@
         """Take over who may be this instance's hub, the first choice first."""
         self._hubs = tuple(names)
 
-    def note(self, key: str, source: Source) -> None:
+    def note(self, key: str, source: PeerReport) -> None:
         """Take a peer's report; ``key`` is its life, or the group it reports for."""
         self._sources[key] = source
 
@@ -106,11 +106,11 @@
             return [hub]
         return [life for life, s in self._sources.items() if s.scope is not Scope.FLEET]
 
-    def sum_group(self, own: Work, now: float) -> Work:
+    def sum_group(self, own: InstanceLoad, now: float) -> InstanceLoad:
         """Return the work of this hub's group, for the other hubs."""
         return _add_work(self._group.sum_up(self._sources, now), own)
 
-    def sum_fleet(self, own: Work, asker: str, now: float) -> Work:
+    def sum_fleet(self, own: InstanceLoad, asker: str, now: float) -> InstanceLoad:
         """Return the work of all others than ``asker``, a life of a member."""
         total = self._fleet.sum_up(self._sources, now)
         return _add_work(total, own, self._fleet.find_part(asker))
@@ -127,9 +127,9 @@
         self._window = window
         self._summed_at = float("-inf")
         self._total = NO_WORK
-        self._parts: dict[str, Work] = {}
+        self._parts: dict[str, InstanceLoad] = {}
 
-    def sum_up(self, sources: Mapping[str, Source], now: float) -> Work:
+    def sum_up(self, sources: Mapping[str, PeerReport], now: float) -> InstanceLoad:
         """Return the sum as of a moment ago."""
         if not 0 <= now - self._summed_at < SUM_SECONDS:
             self._summed_at = now
@@ -141,19 +141,19 @@
             self._total = _sum_works(self._parts.values())
         return self._total
 
-    def find_part(self, key: str) -> Work:
+    def find_part(self, key: str) -> InstanceLoad:
         """Return what of the last sum is from one source."""
         return self._parts.get(key, NO_WORK)
 
-    def _take_part(self, source: Source, now: float) -> Work:
+    def _take_part(self, source: PeerReport, now: float) -> InstanceLoad:
         age = now - source.heard_at
-        return Work(
+        return InstanceLoad(
             source.work.loads if age < PEER_LOAD_SECONDS else {},
             source.work.sends if age <= self._window else {},
         )
 
 
-def _sum_works(works: Iterable[Work]) -> Work:
+def _sum_works(works: Iterable[InstanceLoad]) -> InstanceLoad:
     # Plain lists: a new tuple for each of some thousand additions takes three times
     # as long, and a hub adds up the servers of sixteen groups eight times a second.
     loads: dict[str, list[int]] = {}
@@ -170,10 +170,12 @@
             total[3] += load[3]
         for service, counts in work.sends.items():
             sends[service] = sends.get(service, AttemptCounts()).add(counts)
-    return Work({key: Load(*total) for key, total in loads.items()}, sends)
+    return InstanceLoad({key: Load(*total) for key, total in loads.items()}, sends)
 
 
-def _add_work(total: Work, more: Work, less: Work = NO_WORK) -> Work:
+def _add_work(
+    total: InstanceLoad, more: InstanceLoad, less: InstanceLoad = NO_WORK
+) -> InstanceLoad:
     """Return a sum with a part added and another, which it contains, taken out."""
     loads = dict(total.loads)
     for server_id, load in less.loads.items():
@@ -187,4 +189,4 @@
         sends[service] = sends[service].subtract(counts)
     for service, counts in more.sends.items():
         sends[service] = sends.get(service, AttemptCounts()).add(counts)
-    return Work(loads, sends)
+    return InstanceLoad(loads, sends)
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -25,9 +25,9 @@
 from ashpond.decisions.fleetlinks import Member
 from ashpond.decisions.quarantine import CrashRecords
 from ashpond.errors import SettingsError
-from ashpond.fleet.exchange import Newsroom
+from ashpond.fleet.exchange import PeerExchange
 from ashpond.fleet.members import Members
-from ashpond.fleet.updates import NewsHandlers
+from ashpond.fleet.updates import UpdateHandlers
 from ashpond.gateway.admission import admit_call
 from ashpond.gateway.callprogress import DispatchContext, compute_fingerprint
 from ashpond.gateway.calls import IncomingCall, Reply
@@ -105,19 +105,19 @@
             log,
             self.metrics,
             self.invalid_rows,
-            lambda crashes: self.news.tell_ends(crashes),
-            lambda: self.news.is_reader,
+            lambda crashes: self.peers.tell_ends(crashes),
+            lambda: self.peers.is_reader,
             lambda: list(self.members.by_name),
         )
         self.knowledge = self.store_view.knowledge
         self.table = self.store_view.table
         self.cache_index = CacheIndex()
         self.cache_stores = CacheStores(
-            lambda: self.news.is_reader, lambda update: self.news.publish(update)
+            lambda: self.peers.is_reader, lambda update: self.peers.publish(update)
         )
         self.retry_budgets = RetryBudgets(
             lambda: self.settings.bounds,
-            lambda: self.news,
+            lambda: self.peers,
             lambda: self.members.count(),
         )
         self.leave_event = trio.Event()
@@ -130,13 +130,13 @@
             self.knowledge.find_required_version,
             self._find_required_version,
             self.rng,
-            lambda: bool(self.news.links.group),
+            lambda: bool(self.peers.links.group),
         )
         self.directives = ServerDirectives(
             self.table,
             log,
             self.metrics.count_directive,
-            lambda notice: self.news.announce(notice),
+            lambda notice: self.peers.announce(notice),
             self.rng,
             lambda state, before: self.permits.on_limit(state, before),
             lambda: self.rollouts.note_change(),
@@ -148,7 +148,7 @@
             self.crash_detector,
             log,
             self.directives,
-            lambda: self.news,
+            lambda: self.peers,
             lambda: self.rollouts,
             self.slot_queue.assign,
         )
@@ -162,7 +162,7 @@
             ),
             platform.store,
             log,
-            lambda: self.news.adjust_links(),
+            lambda: self.peers.adjust_links(),
             self.invalid_rows,
         )
         self.allowances = Allowances(
@@ -178,11 +178,11 @@
         self.permits = Permits(
             self.allowances, self.metrics.count_permit, self.rng, self.slot_queue.assign
         )
-        self.news = Newsroom(
+        self.peers = PeerExchange(
             self.members,
             self.table,
             log,
-            NewsHandlers(
+            UpdateHandlers(
                 self.server_updates.on_notice,
                 self.server_updates.on_cache_entry,
                 self.retry_budgets.list_own,
@@ -202,8 +202,8 @@
                 platform.store,
                 self.store_view.clock,
                 log,
-                lambda: self.news.is_reader,
-                self.news.publish,
+                lambda: self.peers.is_reader,
+                self.peers.publish,
             )
             for feed in self._build_feeds()
         }
@@ -216,11 +216,11 @@
             platform.engines,
             log,
             lambda: list(self.members.by_name),
-            self.news.announce,
+            self.peers.announce,
             self.slot_queue.assign,
             self.retry_budgets.measure_left,
             settings.bounds.lease_ms / MS,
-            lambda: self.news.measure_lag(),
+            lambda: self.peers.measure_lag(),
             self.invalid_rows,
             self._has_service,
         )
@@ -284,7 +284,7 @@
             )
             for follower in self.followers.values():
                 nursery.start_soon(follower.run)
-            nursery.start_soon(self.news.run)
+            nursery.start_soon(self.peers.run)
             nursery.start_soon(self.allowances.run)
             nursery.start_soon(self.crash_detector.run)
             watch = SuspensionWatch(self.log, self.metrics.observe_suspension)
--- a/ashpond/gateway/status.py
+++ b/ashpond/gateway/status.py
@@ -34,9 +34,9 @@
         "allowances": gateway.allowances.describe(),
         "members": sorted(gateway.members.by_name),
         "news": {
-            "group": gateway.news.links.group,
-            "speaks_for_group": gateway.news.is_hub,
-            "peers_told": len(gateway.news.list_links()),
+            "group": gateway.peers.links.group,
+            "speaks_for_group": gateway.peers.is_hub,
+            "peers_told": len(gateway.peers.list_links()),
         },
         "lease": {
             "holder": lease.last_known_holder,
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -13,10 +13,10 @@
 from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS, Member
 from ashpond.decisions.loads import Load
 from ashpond.decisions.quarantine import ServerCrash
-from ashpond.fleet.exchange import Newsroom
-from ashpond.fleet.links import Audience
+from ashpond.fleet.exchange import PeerExchange
+from ashpond.fleet.links import PeerRole
 from ashpond.fleet.members import MEMBERS_TABLE, Members
-from ashpond.fleet.updates import NewsHandlers, ServerNotice
+from ashpond.fleet.updates import ServerNotice, UpdateHandlers
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import StoreClock
 from ashpond.standins.tables import MemoryStore
@@ -64,13 +64,13 @@
             Member(name, f"127.0.0.1:{port}", domain),
             self.port,
             self.log,
-            lambda: self.news.adjust_links(),
+            lambda: self.peers.adjust_links(),
         )
-        self.news = Newsroom(
+        self.peers = PeerExchange(
             self.members,
             self.table,
             self.log,
-            NewsHandlers(
+            UpdateHandlers(
                 self.notices.append,
                 self.holdings.append,
                 lambda: {"reader": AttemptCounts(10, 2)},
@@ -109,10 +109,8 @@
             total = total.add(counts)
         return total
 
-    def list_names(self, audience: Audience) -> set[str]:
-        return {
-            link.name for link in self.news.list_links() if link.audience is audience
-        }
+    def list_names(self, role: PeerRole) -> set[str]:
+        return {link.name for link in self.peers.list_links() if link.role is role}
 
     async def run(self) -> None:
         feed = Feed(MEMBERS_TABLE, 5.0, 0.0, 5.0, self.members.take_rows, lambda: None)
@@ -121,7 +119,7 @@
         )
         with self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.news.run)
+                nursery.start_soon(self.peers.run)
                 nursery.start_soon(follower.run)
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -22,8 +22,8 @@
     HOLDINGS_SHARE,
     MAX_GROUP_HOLDINGS,
     MIN_GROUP_HOLDINGS,
-    Audience,
     Link,
+    PeerRole,
     limit_holdings,
 )
 from ashpond.fleet.members import Members
@@ -48,10 +48,10 @@
     async with trio.open_nursery() as nursery:
         for instance in instances:
             nursery.start_soon(instance.run)
-        await wait_for(lambda: len(first.news.list_links()) == 2)
+        await wait_for(lambda: len(first.peers.list_links()) == 2)
         first.table.by_id["a"].load = Load(3, 100, 200)
-        first.news.announce(notice)
-        first.news.tell_holding(holding)
+        first.peers.announce(notice)
+        first.peers.tell_holding(holding)
         await wait_for(lambda: all(notice in other.notices for other in others))
         await wait_for(lambda: all(holding in other.holdings for other in others))
 
@@ -73,7 +73,7 @@
 
     async def agree_late() -> None:
         await wait_for(lambda: first.members.count() == 3)
-        assert not first.news.list_links()
+        assert not first.peers.list_links()
         reached.append("agreed")
         await Members.agree_secret(first.members)
 
@@ -82,7 +82,7 @@
         for instance in instances:
             nursery.start_soon(instance.run)
             nursery.start_soon(instance.members.register)
-        await wait_for(lambda: len(first.news.list_links()) == 2)
+        await wait_for(lambda: len(first.peers.list_links()) == 2)
         nursery.cancel_scope.cancel()
     assert reached == ["agreed"]
 
@@ -97,7 +97,7 @@
         await wait_for(lambda: first.members.count() == 3)
         await third.members.leave()
         await wait_for(lambda: first.members.count() == 2)
-        assert len(first.news.list_links()) == 1
+        assert len(first.peers.list_links()) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -112,9 +112,9 @@
 
 def test_news_that_make_no_sense_are_left_out(instances: list[Instance]) -> None:
     instance = instances[0]
-    instance.news._take(News("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
-    instance.news._take(News("i1#1", "own", "", {}, [["too", "few"]], [], {}))
-    instance.news._take(News("i1#1", "nobody's", "", {}, [], [], {}))
+    instance.peers._take(News("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
+    instance.peers._take(News("i1#1", "own", "", {}, [["too", "few"]], [], {}))
+    instance.peers._take(News("i1#1", "nobody's", "", {}, [], [], {}))
     events = [line["event"] for line in instance.log._lines]
     assert events == ["peer_news_invalid"] * 3
     assert instance.notices == []
@@ -124,7 +124,7 @@
     instance = instances[0]
     for rows in ([["key", b"value"]], ["key"], [["key", b"value", "x"]]):
         changes = TableChanges("i1#1", "group", "op", 1, 2, 0.5, rows, 1, False)
-        instance.news._take(changes)
+        instance.peers._take(changes)
     events = [line["event"] for line in instance.log._lines]
     assert events == ["peer_news_invalid"] * 3
     assert instance.tables == []
@@ -186,13 +186,13 @@
     Evidence: looked for after requests were lost because one side closed what the
     other had taken up; a notice that an engine has its weights was told to no one.
     """
-    link = Link(Audience.EQUAL, "i1")
+    link = Link(PeerRole.EQUAL, "i1")
     notice, newer = ServerNotice("a", "m1", 2, 0.0), ServerNotice("a", "m1", 3, 0.0)
     holding = CacheEntry("a", "salt", "rules")
     link.add([notice], [holding])
     stream: Any = FailingStream(error)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instances[0].news._converse, link, stream)
+        nursery.start_soon(instances[0].peers._converse, link, stream)
         await stream.is_sending.wait()
         link.add([newer])
     assert link.take() == ([notice, newer], [holding])
@@ -202,19 +202,19 @@
     instances: list[Instance],
 ) -> None:
     """Kept, they would end each connection to that peer."""
-    link = Link(Audience.EQUAL, "i1")
+    link = Link(PeerRole.EQUAL, "i1")
     link.add([ServerNotice("a", "m1", 2, 0.0)])
     stream: Any = FailingStream(FrameError("too large"))
-    await instances[0].news._converse(link, stream)
+    await instances[0].peers._converse(link, stream)
     assert link.take() == ([], [])
 
 
 def test_in_a_group_few_holdings_wait_for_a_turn() -> None:
     """Hubs that passed all of them on had their links choked on a scale day."""
     holdings = [CacheEntry("a", "salt", f"part{n}") for n in range(100)]
-    for audience in Audience:
-        most = MAX_GROUP_HOLDINGS if audience is not Audience.EQUAL else 200
-        link = Link(audience, "i1", most)
+    for role in PeerRole:
+        most = MAX_GROUP_HOLDINGS if role is not PeerRole.EQUAL else 200
+        link = Link(role, "i1", most)
         link.add(holdings=holdings)
         link.add(holdings=holdings)
         assert len(link.holdings) == most
@@ -223,10 +223,10 @@
 def test_a_hub_tells_as_many_holdings_as_its_link_bears() -> None:
     """A narrow machine's link has to carry answers; a wide one loses two of three."""
     turn = 0.12
-    assert limit_holdings(Audience.MEMBER, 200.0, 15, turn) == MAX_GROUP_HOLDINGS
-    assert limit_holdings(Audience.MEMBER, 20.0, 15, turn) == MIN_GROUP_HOLDINGS
-    assert limit_holdings(Audience.MEMBER, 0.0, 15, turn) == MIN_GROUP_HOLDINGS
-    between = limit_holdings(Audience.OTHER_HUB, 60.0, 15, turn)
+    assert limit_holdings(PeerRole.MEMBER, 200.0, 15, turn) == MAX_GROUP_HOLDINGS
+    assert limit_holdings(PeerRole.MEMBER, 20.0, 15, turn) == MIN_GROUP_HOLDINGS
+    assert limit_holdings(PeerRole.MEMBER, 0.0, 15, turn) == MIN_GROUP_HOLDINGS
+    between = limit_holdings(PeerRole.OTHER_HUB, 60.0, 15, turn)
     assert MIN_GROUP_HOLDINGS < between < MAX_GROUP_HOLDINGS
     spent = between * HOLDING_BYTES * 30 / turn
     assert spent <= 60.0 * BYTES_PER_MBIT * HOLDINGS_SHARE
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -15,7 +15,7 @@
 from ashpond.decisions.fleetlinks import READER_GROUPS, Member
 from ashpond.decisions.loads import Load
 from ashpond.fleet.intervals import GROUP_NEWS_SECONDS, HEARTBEAT_SECONDS, NEWS_SECONDS
-from ashpond.fleet.links import Audience, Link
+from ashpond.fleet.links import Link, PeerRole
 from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.store import Row
 from ashpond.standins.tables import MemoryStore
@@ -49,13 +49,13 @@
 
 
 def have_one_hub_each(instances: list[Instance]) -> bool:
-    hubs = [i.news.links.group for i in instances if i.news.is_hub]
-    return sorted(hubs) == sorted({i.news.links.group for i in instances})
+    hubs = [i.peers.links.group for i in instances if i.peers.is_hub]
+    return sorted(hubs) == sorted({i.peers.links.group for i in instances})
 
 
 def has_hub(instance: Instance) -> bool:
-    hub = instance.news.view.find_hub(trio.current_time())
-    return instance.news.is_hub or hub is not None
+    hub = instance.peers.view.find_hub(trio.current_time())
+    return instance.peers.is_hub or hub is not None
 
 
 async def test_groups_tell_loads_sends_and_notices_through_their_hubs(
@@ -64,15 +64,15 @@
     notice = ServerNotice("a", "m1", 2, 0.5)
     holding = CacheEntry("a", "salt", "rules")
     async with running(grouped):
-        hubs = [i for i in grouped if i.news.is_hub]
+        hubs = [i for i in grouped if i.peers.is_hub]
         assert len(hubs) >= 2
         for number, instance in enumerate(grouped):
             instance.table.by_id["a"].load = Load(number, 10, 20, 1)
         await wait_for(lambda: all(i.sum_load().requests == 45 for i in grouped))
         await wait_for(lambda: all(i.sum_sends() == (100, 20) for i in grouped))
-        speaker = next(i for i in grouped if not i.news.is_hub)
-        speaker.news.announce(notice)
-        speaker.news.tell_holding(holding)
+        speaker = next(i for i in grouped if not i.peers.is_hub)
+        speaker.peers.announce(notice)
+        speaker.peers.tell_holding(holding)
         others = [i for i in grouped if i is not speaker]
         await wait_for(lambda: all(notice in i.notices for i in others))
         await wait_for(lambda: all(holding in i.holdings for i in others))
@@ -86,9 +86,9 @@
     *running_now, late = grouped
     async with running(grouped):
         late.scope.cancel()
-        speaker = next(i for i in running_now if not i.news.is_hub)
+        speaker = next(i for i in running_now if not i.peers.is_hub)
         speaker.ends.append(end)
-        speaker.news.tell_ends([end])
+        speaker.peers.tell_ends([end])
         await wait_for(lambda: all(end in i.ends for i in running_now))
         assert all(i.ends.count(end) == 1 for i in running_now)
         late.ends.clear()
@@ -104,22 +104,22 @@
 ) -> None:
     async with running(grouped):
         hub = next(
-            i for i in grouped if i.news.is_hub and i.list_names(Audience.MEMBER)
+            i for i in grouped if i.peers.is_hub and i.list_names(PeerRole.MEMBER)
         )
-        group = hub.news.links.group
+        group = hub.peers.links.group
         rest = [i for i in grouped if i is not hub]
         for instance in rest:
             instance.table.by_id["a"].load = Load(1, 10, 20, 1)
         hub.scope.cancel()
         await wait_for(
-            lambda: any(i.news.is_hub and i.news.links.group == group for i in rest)
+            lambda: any(i.peers.is_hub and i.peers.links.group == group for i in rest)
         )
         await wait_for(lambda: all(i.sum_load().requests == 9 for i in rest))
 
 
 async def test_a_member_hears_its_own_work_from_no_one(grouped: list[Instance]) -> None:
     async with running(grouped):
-        member = next(i for i in grouped if not i.news.is_hub)
+        member = next(i for i in grouped if not i.peers.is_hub)
         member.table.by_id["a"].load = Load(7, 10, 20, 1)
         await wait_for(
             lambda: all(i.sum_load().requests == 7 for i in grouped if i is not member)
@@ -132,9 +132,9 @@
     row = Row("op", "config", b"new", 7)
     news = TableUpdate("op", 6, 7, 1000.5, (row, Row("op", "old", None, 7)))
     async with running(grouped):
-        readers = [i for i in grouped if i.news.is_reader]
+        readers = [i for i in grouped if i.peers.is_reader]
         assert 1 <= len(readers) <= READER_GROUPS
-        readers[0].news.publish(news)
+        readers[0].peers.publish(news)
         others = [i for i in grouped if i is not readers[0]]
         await wait_for(lambda: all(news in i.tables for i in others))
 
@@ -146,15 +146,15 @@
     news = TableUpdate("op", 6, 7, 1000.5, (Row("op", "config", b"new", 7),))
 
     def list_hubs() -> list[Instance]:
-        hubs = [i for i in grouped if i.news.is_hub and not i.news.is_reader]
-        return [hub for hub in hubs if hub.list_names(Audience.MEMBER)]
+        hubs = [i for i in grouped if i.peers.is_hub and not i.peers.is_reader]
+        return [hub for hub in hubs if hub.list_names(PeerRole.MEMBER)]
 
     async with running(grouped):
         await wait_for(lambda: bool(list_hubs()))
         hub = list_hubs()[0]
-        hub.news.publish(news)
-        told = {link.audience for link in hub.news.list_links() if news in link.tables}
-        assert told == {Audience.MEMBER}
+        hub.peers.publish(news)
+        told = {link.role for link in hub.peers.list_links() if news in link.tables}
+        assert told == {PeerRole.MEMBER}
 
 
 async def test_what_a_stand_by_need_not_hear_keeps_no_one_busy(
@@ -165,23 +165,23 @@
         member = next(
             i
             for i in grouped
-            if len(i.list_names(Audience.HUB)) == 2 and not i.news.is_hub
+            if len(i.list_names(PeerRole.HUB)) == 2 and not i.peers.is_hub
         )
         standby = next(
             link
-            for link in member.news.list_links()
-            if not member.news._needs_all(link)
+            for link in member.peers.list_links()
+            if not member.peers._needs_all(link)
         )
         sends = 0
-        build = member.news._build_work
+        build = member.peers._build_work
 
         def count(link: Any, now: float) -> Any:
             nonlocal sends
             sends += 1
             return build(link, now)
 
-        member.news._build_work = count  # type: ignore[method-assign]
-        member.news.announce(ServerNotice("a", "m1", 2, 0.5))
+        member.peers._build_work = count  # type: ignore[method-assign]
+        member.peers.announce(ServerNotice("a", "m1", 2, 0.5))
         standby.notices.append(ServerNotice("a", "m1", 3, 0.5))
         await trio.sleep(2 * GROUP_NEWS_SECONDS)
         assert sends < 30
@@ -191,16 +191,16 @@
     grouped: list[Instance],
 ) -> None:
     async with running(grouped):
-        hub = next(i for i in grouped if i.news.is_hub)
-        pairs = [names for names in hub.news.links.other_hubs if len(names) == 2]
+        hub = next(i for i in grouped if i.peers.is_hub)
+        pairs = [names for names in hub.peers.links.other_hubs if len(names) == 2]
         assert pairs
-        links = {link.name: link for link in hub.news.list_links()}
+        links = {link.name: link for link in hub.peers.list_links()}
         first, second = (links[member.name] for member in pairs[0])
         await wait_for(lambda: first.is_connected and second.is_connected)
-        assert hub.news._needs_all(first)
-        assert not hub.news._needs_all(second)
+        assert hub.peers._needs_all(first)
+        assert not hub.peers._needs_all(second)
         first.is_connected = False
-        assert hub.news._needs_all(second)
+        assert hub.peers._needs_all(second)
 
 
 async def test_an_instance_whose_row_is_not_there_yet_links_as_a_member() -> None:
@@ -217,15 +217,15 @@
         def start_soon(self, function: object, link: Link, address: str) -> None:
             started.append(link)
 
-    instance.news._nursery = Nursery()  # type: ignore[assignment]
-    instance.news.adjust_links()
-    assert instance.news.links.group
+    instance.peers._nursery = Nursery()  # type: ignore[assignment]
+    instance.peers.adjust_links()
+    assert instance.peers.links.group
     assert len(started) < len(names) / 2
 
 
 async def test_an_instance_that_starts_follows_the_tables_itself() -> None:
     """While it read for nobody, it slept up to 20 s before it saw who else there is."""
-    assert Instance("i0", MemoryStore(), find_free_port()).news.is_reader
+    assert Instance("i0", MemoryStore(), find_free_port()).peers.is_reader
 
 
 async def test_what_is_urgent_is_told_at_once_and_without_the_work_of_all(
@@ -233,8 +233,8 @@
 ) -> None:
     """While weights were loaded, a hub's members were told all 30 times a second."""
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
-    link = Link(Audience.EQUAL, "i1")
-    instance.news._own_members.append(link)
+    link = Link(PeerRole.EQUAL, "i1")
+    instance.peers._own_members.append(link)
     sent: list[object] = []
 
     class Stream:
@@ -242,12 +242,12 @@
             sent.append(message)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instance.news._take_turns)
-        nursery.start_soon(instance.news._send_news, link, Stream())
+        nursery.start_soon(instance.peers._take_turns)
+        nursery.start_soon(instance.peers._send_news, link, Stream())
         await trio.sleep(0.05)
         for number in range(100):
             instance.table.by_id["a"].load = Load(number + 1)
-            instance.news.announce(ServerNotice("a", "m1", number + 1, 0.5))
+            instance.peers.announce(ServerNotice("a", "m1", number + 1, 0.5))
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     digests = [message for message in sent if isinstance(message, News)]
@@ -260,13 +260,13 @@
 
 async def test_a_hub_passes_on_what_is_urgent(grouped: list[Instance]) -> None:
     async with running(grouped):
-        hub = next(i for i in grouped if i.news.is_hub)
-        member = next(i for i in grouped if not i.news.is_hub)
+        hub = next(i for i in grouped if i.peers.is_hub)
+        member = next(i for i in grouped if not i.peers.is_hub)
         notice = ServerNotice("a", "m1", 7, 0.5, born=1000)
-        member.news.announce(notice)
+        member.peers.announce(notice)
         others = [i for i in grouped if i is not member]
         await wait_for(lambda: all(notice in i.notices for i in others))
-        assert hub.news.is_hub
+        assert hub.peers.is_hub
 
 
 async def test_a_link_that_has_nothing_to_tell_wakes_up_for_heartbeats_only(
@@ -274,8 +274,8 @@
 ) -> None:
     """Each of a hub's 43 links woke up eight times a second, and at each notice."""
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
-    link = Link(Audience.EQUAL, "i1")
-    instance.news._own_members.append(link)
+    link = Link(PeerRole.EQUAL, "i1")
+    instance.peers._own_members.append(link)
     woken = 0
 
     class Stream:
@@ -284,12 +284,12 @@
             woken += 1
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instance.news._take_turns)
-        nursery.start_soon(instance.news._send_news, link, Stream())
+        nursery.start_soon(instance.peers._take_turns)
+        nursery.start_soon(instance.peers._send_news, link, Stream())
         await trio.sleep(6.05)
         assert woken == pytest.approx(6.0 / HEARTBEAT_SECONDS, abs=2)
         woken = 0
-        instance.news.announce(ServerNotice("a", "m1", 2, 0.5))
+        instance.peers.announce(ServerNotice("a", "m1", 2, 0.5))
         await trio.sleep(0.001)
         assert woken == 1
         instance.table.by_id["a"].load = Load(3)
@@ -304,20 +304,22 @@
     """Of a hub's 38 links 15 stand by: it added up for each of them each turn."""
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
     first, standby = Member("h1", "127.0.0.1:9", "e"), Member("h2", "127.0.0.1:9", "e")
-    instance.news.links = instance.news.links._replace(other_hubs=((first, standby),))
+    instance.peers.links = instance.peers.links._replace(other_hubs=((first, standby),))
     built: list[str] = []
-    build = instance.news._build_work
+    build = instance.peers._build_work
 
     def count(link: Link, now: float) -> object:
         built.append(link.name)
         return build(link, now)
 
-    instance.news._build_work = count  # type: ignore[method-assign,assignment]
+    instance.peers._build_work = count  # type: ignore[method-assign,assignment]
     for member in (first, standby):
-        link = Link(Audience.OTHER_HUB, member.name)
+        link = Link(PeerRole.OTHER_HUB, member.name)
         link.is_connected = True
         link.sent, link.sent_at = build(link, 0.0), 0.0
-        instance.news._outgoing[Audience.OTHER_HUB, member] = link
+        instance.peers._outgoing[PeerRole.OTHER_HUB, member] = link
     now = HEARTBEAT_SECONDS / 2
-    assert not any(instance.news._is_due(li, now) for li in instance.news.list_links())
+    assert not any(
+        instance.peers._is_due(li, now) for li in instance.peers.list_links()
+    )
     assert built == ["h1"]
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -20,7 +20,7 @@
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.leases import Lease, make_lease_terms
 from ashpond.decisions.loads import Load
-from ashpond.fleet.view import FleetView, Scope, Source, Work
+from ashpond.fleet.view import FleetView, InstanceLoad, PeerReport, Scope
 from ashpond.gateway.admission import AcceptedCall, admit_call
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import StoreClock
@@ -138,9 +138,9 @@
     table = make_table(make_server("a"))
     view = FleetView(10.0)
     now = trio.current_time()
-    work = Work({}, {})
+    work = InstanceLoad({}, {})
     view.set_hubs(["h"])
-    view.note("h#1", Source("h", Scope.FLEET, now, work))
+    view.note("h#1", PeerReport("h", Scope.FLEET, now, work))
     table.note_peer_loads("h#1", {"a": Load(3)}, now)
     assert view.find_hub(now) is not None
     assert table.sum_load("a", now).requests == 3
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -10,21 +10,21 @@
     HUB_SILENCE_SECONDS,
     SUM_SECONDS,
     FleetView,
+    InstanceLoad,
+    PeerReport,
     Scope,
-    Source,
-    Work,
 )
 
 WINDOW = 10.0
 
 
-def make_work(requests: int) -> Work:
-    return Work({"a": Load(requests)}, {"reader": AttemptCounts(requests, 1)})
+def make_work(requests: int) -> InstanceLoad:
+    return InstanceLoad({"a": Load(requests)}, {"reader": AttemptCounts(requests, 1)})
 
 
 def tell(view: FleetView, life: str, scope: Scope, requests: int, at: float) -> None:
     peer = life.partition("#")[0]
-    view.note(life, Source(peer, scope, at, make_work(requests)))
+    view.note(life, PeerReport(peer, scope, at, make_work(requests)))
 
 
 def make_hub_view() -> FleetView:
@@ -100,7 +100,7 @@
 
 servers = st.sampled_from(["a", "b", "c"])
 works = st.builds(
-    Work,
+    InstanceLoad,
     st.dictionaries(servers, st.builds(Load, st.integers(1, 9), st.integers(0, 9))),
     st.dictionaries(servers, st.builds(AttemptCounts, st.integers(0, 9))),
 )
@@ -108,11 +108,11 @@
 
 @given(st.lists(works, min_size=1, max_size=5), works)
 def test_each_member_is_told_the_work_of_all_others(
-    told: list[Work], own: Work
+    told: list[InstanceLoad], own: InstanceLoad
 ) -> None:
     view = FleetView(WINDOW)
     for number, work in enumerate(told):
-        view.note(f"m{number}", Source(f"m{number}", Scope.MEMBER, 0.0, work))
+        view.note(f"m{number}", PeerReport(f"m{number}", Scope.MEMBER, 0.0, work))
     for asker in range(len(told)):
         others = [own, *(w for n, w in enumerate(told) if n != asker)]
         found = view.sum_fleet(own, f"m{asker}", 0.1)
