--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -118,7 +118,7 @@
         for entry in self._cache_index.note_read(
             info.id, salt, prompt, now, info.started_ms
         ):
-            self._get_news().tell_holding(entry)
+            self._get_news().send_cache_entry(entry)
 
     def on_entry_gone(self, state: ServerState) -> None:
         """Record a crash of a server whose row is gone; close its connections."""
--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -43,7 +43,7 @@
     await_end,
     is_first_reached,
     is_relied_on,
-    limit_holdings,
+    limit_cache_entries,
     list_wanted,
     receive_first,
     receive_news,
@@ -57,7 +57,7 @@
     ServerNotice,
     UpdateHandlers,
     decode_changes,
-    decode_ends,
+    decode_crashes,
     decode_news,
     decode_notices,
 )
@@ -110,15 +110,15 @@
             link.add([notice])
             link.wake()
 
-    def tell_holding(self, holding: CacheEntry) -> None:
+    def send_cache_entry(self, cache_entry: CacheEntry) -> None:
         """Tell all peers, with the next news, what an engine has read."""
         for link in self._list_listeners():
-            link.add(holdings=[holding])
+            link.add(cache_entries=[cache_entry])
 
-    def tell_ends(self, ends: Sequence[ServerCrash]) -> None:
+    def send_crashes(self, crashes: Sequence[ServerCrash]) -> None:
         """Tell all peers at once which requests servers have ended under."""
         for link in self._list_listeners():
-            link.add(ends=ends)
+            link.add(crashes=crashes)
             link.wake()
 
     @property
@@ -172,7 +172,7 @@
         for key in self._outgoing.keys() - wanted:
             self._outgoing.pop(key).scope.cancel()
         for role, member in sorted(wanted - self._outgoing.keys(), key=str):
-            link = Link(role, member.name, self._limit_holdings(role))
+            link = Link(role, member.name, self._limit_cache_entries(role))
             self._outgoing[role, member] = link
             self._nursery.start_soon(self._feed_peer, link, member.address)
 
@@ -233,8 +233,8 @@
         them, a hub's members were told 30 times a second in place of 8.
         """
         link.is_due = True
-        link.ends.clear()
-        link.add(ends=self._handlers.list_ends())
+        link.crashes.clear()
+        link.add(crashes=self._handlers.list_crashes())
         while True:
             await send_urgent(self._life, link, stream)
             if link.is_due:
@@ -252,12 +252,12 @@
             return True
         if not self._needs_all(link):
             return False
-        if link.notices or link.holdings or link.tables:
+        if link.notices or link.cache_entries or link.tables:
             return True
         return self._build_work(link, now).loads != link.sent.loads
 
     def _build_work(self, link: Link, now: float) -> InstanceLoad:
-        own = InstanceLoad(self._table.list_own_loads(), self._handlers.list_sends())
+        own = InstanceLoad(self._table.list_own_loads(), self._handlers.list_attempts())
         if link.role is PeerRole.OTHER_HUB:
             return self.view.sum_group(own, now)
         if link.role is PeerRole.MEMBER:
@@ -274,10 +274,12 @@
         hub = self.view.find_hub(trio.current_time())
         return is_relied_on(link, hub, is_hub=self._is_hub)
 
-    def _limit_holdings(self, role: PeerRole) -> int:
+    def _limit_cache_entries(self, role: PeerRole) -> int:
         link_mbps = self.members.own.link_mbps
         groups = len(self.links.other_hubs)
-        return limit_holdings(role, link_mbps, groups, choose_pause(self.links.group))
+        return limit_cache_entries(
+            role, link_mbps, groups, choose_pause(self.links.group)
+        )
 
     async def _receive(self, raw: trio.SocketStream) -> None:
         """Take the news of a peer that has connected; answer a group's member."""
@@ -287,7 +289,7 @@
             await stream.authenticate(is_server=True)
             first = await receive_first(stream)
             if isinstance(first, AllowanceAsk):
-                serve = self._handlers.serve_asker
+                serve = self._handlers.serve_allowances
                 reason = await await_end(lambda: serve(first, stream))
             else:
                 reason = await self._hear(first, stream)
@@ -306,7 +308,7 @@
         return await await_end(lambda: self._take_all(stream))
 
     async def _serve_member(self, life: str, stream: PeerStream) -> str:
-        limit = self._limit_holdings(PeerRole.MEMBER)
+        limit = self._limit_cache_entries(PeerRole.MEMBER)
         link = Link(PeerRole.MEMBER, life, limit)
         self._own_members.append(link)
         try:
@@ -327,7 +329,7 @@
             elif isinstance(message, Notices):
                 self._take_notices(message.sender, *decode_notices(message))
             elif isinstance(message, ServerEndNews):
-                self._take_ends(message.sender, *decode_ends(message))
+                self._apply_crashes(message.sender, *decode_crashes(message))
             else:
                 self._take_changes(message.sender, *decode_changes(message))
         except FrameError as error:
@@ -337,9 +339,11 @@
         if self._handlers.on_table(news):
             self._pass_on(scope, sender, tables=[news])
 
-    def _take_ends(self, sender: str, scope: Scope, ends: list[ServerCrash]) -> None:
-        news = self._handlers.on_ends(ends, strip_life(sender))
-        self._pass_on(scope, sender, ends=news)
+    def _apply_crashes(
+        self, sender: str, scope: Scope, crashes: list[ServerCrash]
+    ) -> None:
+        news = self._handlers.on_crashes(crashes, strip_life(sender))
+        self._pass_on(scope, sender, crashes=news)
 
     def _take_notices(
         self, sender: str, scope: Scope, notices: list[ServerNotice]
@@ -356,19 +360,19 @@
         self._keep_counted(now)
         if key in self._counted:
             self._table.note_peer_loads(key, digest.work.loads, now)
-            for service, counts in digest.work.sends.items():
-                self._handlers.on_sends(service, key, counts)
+            for service, counts in digest.work.attempts.items():
+                self._handlers.on_attempts(service, key, counts)
         for notice in digest.notices:
             self._handlers.on_notice(notice)
-        for holding in digest.holdings:
-            self._handlers.on_holding(holding)
-        self._pass_on(scope, sender, digest.notices, digest.holdings)
+        for cache_entry in digest.cache_entries:
+            self._handlers.on_cache_entry(cache_entry)
+        self._pass_on(scope, sender, digest.notices, digest.cache_entries)
 
     def _keep_counted(self, now: float) -> None:
         counted = set(self.view.list_counted(now))
         if self._counted - counted:
             self._table.retain_peer_loads(counted)
-            self._handlers.keep_peers(counted)
+            self._handlers.retain_peers(counted)
         self._counted = counted
 
     def _pass_on(
@@ -376,18 +380,18 @@
         scope: Scope,
         sender: str,
         notices: Sequence[ServerNotice] = (),
-        holdings: Sequence[CacheEntry] = (),
+        cache_entries: Sequence[CacheEntry] = (),
         tables: Sequence[TableUpdate] = (),
-        ends: Sequence[ServerCrash] = (),
+        crashes: Sequence[ServerCrash] = (),
     ) -> None:
         """Forward what others receive from this hub only."""
-        if not self._is_hub or not (notices or holdings or tables or ends):
+        if not self._is_hub or not (notices or cache_entries or tables or crashes):
             return
         links = [link for link in self._own_members if link.name != sender]
         if scope is Scope.MEMBER:
             others = self._outgoing.values()
             links += [o for o in others if o.role is PeerRole.OTHER_HUB]
         for link in links:
-            link.add(notices, holdings, tables, ends)
+            link.add(notices, cache_entries, tables, crashes)
             if link.is_urgent and self._needs_all(link):
                 link.wake()
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -11,7 +11,7 @@
     "await_end",
     "is_first_reached",
     "is_relied_on",
-    "limit_holdings",
+    "limit_cache_entries",
     "list_wanted",
     "receive_first",
     "receive_news",
@@ -41,20 +41,20 @@
 from ashpond.fleet.view import InstanceLoad, Scope
 
 # For a peer that is away; what it misses costs it some reading (entries).
-MAX_PENDING_HOLDINGS = 500
+MAX_PENDING_CACHE_ENTRIES = 500
 # The same for one turn in a group, where a hub passes on the holdings of all. Of 336 a
 # second in a fleet of 195, with 8 turns a second, 12 a turn leave out two of three.
-MIN_GROUP_HOLDINGS = 12
-MAX_GROUP_HOLDINGS = 40
+MIN_GROUP_CACHE_ENTRIES = 12
+MAX_GROUP_CACHE_ENTRIES = 40
 # What a hub may spend of its machine's network link on holdings (share of its rate).
-HOLDINGS_SHARE = 0.05
+CACHE_ENTRIES_SHARE = 0.05
 # A holding in a message: ids of a server and a part, a salt, a start (bytes).
-HOLDING_BYTES = 64
+CACHE_ENTRY_BYTES = 64
 BYTES_PER_MBIT = 125_000
 # The same of changes in the store; a peer that misses one asks the store (entries).
 MAX_PENDING_TABLES = 30
 # The same of ends of servers; a peer that connects anew is told of all (entries).
-MAX_PENDING_ENDS = 500
+MAX_PENDING_CRASHES = 500
 # What peers tell of their work and of what they learn.
 UpdateMessage = News | Notices | ServerEndNews | TableChanges
 # Ways in which a connection between instances ends.
@@ -85,7 +85,9 @@
 }
 
 
-def limit_holdings(role: PeerRole, link_mbps: float, groups: int, turn: float) -> int:
+def limit_cache_entries(
+    role: PeerRole, link_mbps: float, groups: int, turn: float
+) -> int:
     """Return how many holdings an instance tells a peer in a turn.
 
     :param link_mbps: what its machine's network link carries, 0 if that is not known.
@@ -93,11 +95,11 @@
     :param turn: the time between two turns (seconds).
     """
     if role is PeerRole.EQUAL:
-        return MAX_PENDING_HOLDINGS
-    bytes_a_turn = link_mbps * BYTES_PER_MBIT * HOLDINGS_SHARE * turn
+        return MAX_PENDING_CACHE_ENTRIES
+    bytes_a_turn = link_mbps * BYTES_PER_MBIT * CACHE_ENTRIES_SHARE * turn
     links = 2 * max(1, groups)
-    fitting = int(bytes_a_turn / (links * HOLDING_BYTES))
-    return max(MIN_GROUP_HOLDINGS, min(MAX_GROUP_HOLDINGS, fitting))
+    fitting = int(bytes_a_turn / (links * CACHE_ENTRY_BYTES))
+    return max(MIN_GROUP_CACHE_ENTRIES, min(MAX_GROUP_CACHE_ENTRIES, fitting))
 
 
 class Link:
@@ -113,11 +115,11 @@
         self,
         role: PeerRole,
         name: str,
-        max_holdings: int = MAX_PENDING_HOLDINGS,
+        max_cache_entries: int = MAX_PENDING_CACHE_ENTRIES,
     ):
         self.role = role
         self.name = name
-        self.max_holdings = max_holdings
+        self.max_cache_entries = max_cache_entries
         self.scope = trio.CancelScope()
         self.is_connected = False
         self.sent: InstanceLoad | None = None
@@ -125,28 +127,28 @@
         self.is_due = False
         self._signal = trio.Event()
         self.notices: list[ServerNotice] = []
-        self.holdings: list[CacheEntry] = []
+        self.cache_entries: list[CacheEntry] = []
         self.tables: deque[TableUpdate] = deque(maxlen=MAX_PENDING_TABLES)
-        self.ends: deque[ServerCrash] = deque(maxlen=MAX_PENDING_ENDS)
+        self.crashes: deque[ServerCrash] = deque(maxlen=MAX_PENDING_CRASHES)
 
     @property
     def is_urgent(self) -> bool:
         """Whether there is something that should not wait for the next turn."""
-        return bool(self.notices or self.tables or self.ends)
+        return bool(self.notices or self.tables or self.crashes)
 
     def add(
         self,
         notices: Iterable[ServerNotice] = (),
-        holdings: Iterable[CacheEntry] = (),
+        cache_entries: Iterable[CacheEntry] = (),
         tables: Iterable[TableUpdate] = (),
-        ends: Iterable[ServerCrash] = (),
+        crashes: Iterable[ServerCrash] = (),
     ) -> None:
         """Keep news until the next turn."""
-        self.ends.extend(ends)
+        self.crashes.extend(crashes)
         self.notices.extend(notices)
         self.tables.extend(tables)
-        self.holdings.extend(holdings)
-        self._limit_holdings()
+        self.cache_entries.extend(cache_entries)
+        self._limit_cache_entries()
 
     def wake(self) -> None:
         """Have what there is told now."""
@@ -160,17 +162,19 @@
     def take(self) -> tuple[list[ServerNotice], list[CacheEntry]]:
         """Return the notices and holdings that wait, which are then told."""
         notices, self.notices = self.notices, []
-        holdings, self.holdings = self.holdings, []
-        return notices, holdings
+        cache_entries, self.cache_entries = self.cache_entries, []
+        return notices, cache_entries
 
-    def put_back(self, notices: list[ServerNotice], holdings: list[CacheEntry]) -> None:
+    def put_back(
+        self, notices: list[ServerNotice], cache_entries: list[CacheEntry]
+    ) -> None:
         """Keep what was taken and not told, before what has come since."""
         self.notices[:0] = notices
-        self.holdings[:0] = holdings
-        self._limit_holdings()
+        self.cache_entries[:0] = cache_entries
+        self._limit_cache_entries()
 
-    def _limit_holdings(self) -> None:
-        del self.holdings[self.max_holdings :]
+    def _limit_cache_entries(self) -> None:
+        del self.cache_entries[self.max_cache_entries :]
 
 
 def list_wanted(links: Links, *, is_hub: bool) -> set[tuple[PeerRole, Member]]:
--- a/ashpond/fleet/sending.py
+++ b/ashpond/fleet/sending.py
@@ -12,7 +12,7 @@
 from ashpond.fleet.updates import (
     Digest,
     encode_changes,
-    encode_ends,
+    encode_crashes,
     encode_news,
     encode_notices,
 )
@@ -32,7 +32,7 @@
         changes = encode_changes(life, scope, link.tables.popleft())
         with trio.fail_after(SEND_SECONDS):
             await stream.send(changes)
-    await _send_ends(life, link, stream)
+    await _send_crashes(life, link, stream)
     if not link.notices or link.is_due:
         return
     notices, link.notices = link.notices, []
@@ -44,14 +44,14 @@
         raise
 
 
-async def _send_ends(life: str, link: Link, stream: PeerStream) -> None:
+async def _send_crashes(life: str, link: Link, stream: PeerStream) -> None:
     """Tell of ends; a connection that breaks meanwhile begins by telling of all."""
-    if not link.ends:
+    if not link.crashes:
         return
-    ends = list(link.ends)
-    link.ends.clear()
+    crashes = list(link.crashes)
+    link.crashes.clear()
     with trio.fail_after(SEND_SECONDS):
-        await stream.send(encode_ends(life, SCOPE_BY_ROLE[link.role], ends))
+        await stream.send(encode_crashes(life, SCOPE_BY_ROLE[link.role], crashes))
 
 
 async def send_digest(
@@ -61,8 +61,8 @@
 
     :param life: the sender's, of the group ``group``.
     """
-    notices, holdings = link.take()
-    digest = Digest(SCOPE_BY_ROLE[link.role], group, work, notices, holdings)
+    notices, cache_entries = link.take()
+    digest = Digest(SCOPE_BY_ROLE[link.role], group, work, notices, cache_entries)
     news = encode_news(life, digest)
     try:
         with trio.fail_after(SEND_SECONDS):
@@ -72,5 +72,5 @@
         raise
     except BaseException:
         # The peer takes nothing of a message that did not go out whole.
-        link.put_back(notices, holdings)
+        link.put_back(notices, cache_entries)
         raise
--- a/ashpond/fleet/updates.py
+++ b/ashpond/fleet/updates.py
@@ -9,11 +9,11 @@
     "UpdateHandlers",
     "ServerNotice",
     "decode_changes",
-    "decode_ends",
+    "decode_crashes",
     "decode_news",
     "decode_notices",
     "encode_changes",
-    "encode_ends",
+    "encode_crashes",
     "encode_news",
     "encode_notices",
 ]
@@ -91,7 +91,7 @@
     group: str
     work: InstanceLoad
     notices: list[ServerNotice]
-    holdings: list[CacheEntry]
+    cache_entries: list[CacheEntry]
 
 
 class UpdateHandlers(NamedTuple):
@@ -105,14 +105,14 @@
     """
 
     on_notice: Callable[[ServerNotice], None]
-    on_holding: Callable[[CacheEntry], None]
-    list_sends: Callable[[], dict[str, AttemptCounts]]
-    on_sends: Callable[[str, str, AttemptCounts], None]
-    keep_peers: Callable[[Container[str]], None]
+    on_cache_entry: Callable[[CacheEntry], None]
+    list_attempts: Callable[[], dict[str, AttemptCounts]]
+    on_attempts: Callable[[str, str, AttemptCounts], None]
+    retain_peers: Callable[[Container[str]], None]
     on_table: Callable[[TableUpdate], bool]
-    on_ends: Callable[[list[ServerCrash], str], list[ServerCrash]]
-    list_ends: Callable[[], list[ServerCrash]]
-    serve_asker: Callable[[AllowanceAsk, PeerStream], Awaitable[None]]
+    on_crashes: Callable[[list[ServerCrash], str], list[ServerCrash]]
+    list_crashes: Callable[[], list[ServerCrash]]
+    serve_allowances: Callable[[AllowanceAsk, PeerStream], Awaitable[None]]
 
 
 class _Change(NamedTuple):
@@ -131,8 +131,8 @@
         digest.group,
         {server_id: list(load) for server_id, load in digest.work.loads.items()},
         [list(notice) for notice in digest.notices],
-        [list(holding) for holding in digest.holdings],
-        {service: list(counts) for service, counts in digest.work.sends.items()},
+        [list(cache_entry) for cache_entry in digest.cache_entries],
+        {service: list(counts) for service, counts in digest.work.attempts.items()},
     )
 
 
@@ -173,19 +173,21 @@
         raise FrameError(f"notices that make no sense: {error!r}") from error
 
 
-def encode_ends(sender: str, scope: Scope, ends: list[ServerCrash]) -> ServerEndNews:
+def encode_crashes(
+    sender: str, scope: Scope, crashes: list[ServerCrash]
+) -> ServerEndNews:
     """Return the message that tells of ends of servers."""
-    return ServerEndNews(sender, scope, [list(end) for end in ends])
+    return ServerEndNews(sender, scope, [list(crash) for crash in crashes])
 
 
-def decode_ends(message: ServerEndNews) -> tuple[Scope, list[ServerCrash]]:
+def decode_crashes(message: ServerEndNews) -> tuple[Scope, list[ServerCrash]]:
     """Return the scope of a message, and the ends that it tells of.
 
     :raises FrameError: if it makes no sense.
     """
     try:
-        ends = convert_list(message.ends, ServerCrash)
-        return Scope(message.scope), ends
+        crashes = convert_list(message.ends, ServerCrash)
+        return Scope(message.scope), crashes
     except ValueError as error:
         raise FrameError(f"ends that make no sense: {error!r}") from error
 
--- a/ashpond/fleet/view.py
+++ b/ashpond/fleet/view.py
@@ -37,7 +37,7 @@
     """Work in flight by backend server, and sends of late by service."""
 
     loads: dict[str, Load]
-    sends: dict[str, AttemptCounts]
+    attempts: dict[str, AttemptCounts]
 
 
 NO_WORK = InstanceLoad({}, {})
@@ -149,7 +149,7 @@
         age = now - source.heard_at
         return InstanceLoad(
             source.work.loads if age < PEER_LOAD_SECONDS else {},
-            source.work.sends if age <= self._window else {},
+            source.work.attempts if age <= self._window else {},
         )
 
 
@@ -157,7 +157,7 @@
     # Plain lists: a new tuple for each of some thousand additions takes three times
     # as long, and a hub adds up the servers of sixteen groups eight times a second.
     loads: dict[str, list[int]] = {}
-    sends: dict[str, AttemptCounts] = {}
+    attempts: dict[str, AttemptCounts] = {}
     for work in works:
         for server_id, load in work.loads.items():
             total = loads.get(server_id)
@@ -168,9 +168,9 @@
             total[1] += load[1]
             total[2] += load[2]
             total[3] += load[3]
-        for service, counts in work.sends.items():
-            sends[service] = sends.get(service, AttemptCounts()).add(counts)
-    return InstanceLoad({key: Load(*total) for key, total in loads.items()}, sends)
+        for service, counts in work.attempts.items():
+            attempts[service] = attempts.get(service, AttemptCounts()).add(counts)
+    return InstanceLoad({key: Load(*total) for key, total in loads.items()}, attempts)
 
 
 def _add_work(
@@ -184,9 +184,9 @@
             loads[server_id] = left
     for server_id, load in more.loads.items():
         loads[server_id] = loads.get(server_id, NO_LOAD).add(load)
-    sends = dict(total.sends)
-    for service, counts in less.sends.items():
-        sends[service] = sends[service].subtract(counts)
-    for service, counts in more.sends.items():
-        sends[service] = sends.get(service, AttemptCounts()).add(counts)
-    return InstanceLoad(loads, sends)
+    attempts = dict(total.attempts)
+    for service, counts in less.attempts.items():
+        attempts[service] = attempts[service].subtract(counts)
+    for service, counts in more.attempts.items():
+        attempts[service] = attempts.get(service, AttemptCounts()).add(counts)
+    return InstanceLoad(loads, attempts)
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -105,7 +105,7 @@
             log,
             self.metrics,
             self.invalid_rows,
-            lambda crashes: self.peers.tell_ends(crashes),
+            lambda crashes: self.peers.send_crashes(crashes),
             lambda: self.peers.is_reader,
             lambda: list(self.members.by_name),
         )
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -53,10 +53,10 @@
     ):
         self.table = make_table(make_server("a"))
         self.notices: list[ServerNotice] = []
-        self.holdings: list[CacheEntry] = []
-        self.sends: dict[str, AttemptCounts] = {}
+        self.cache_entries: list[CacheEntry] = []
+        self.attempts: dict[str, AttemptCounts] = {}
         self.tables: list[TableUpdate] = []
-        self.ends: list[ServerCrash] = []
+        self.crashes: list[ServerCrash] = []
         self.log = DecisionLog(name)
         self.port = store.build_port()
         self.scope = trio.CancelScope()
@@ -72,40 +72,40 @@
             self.log,
             UpdateHandlers(
                 self.notices.append,
-                self.holdings.append,
+                self.cache_entries.append,
                 lambda: {"reader": AttemptCounts(10, 2)},
-                lambda service, peer, counts: self.sends.update({peer: counts}),
-                self.keep_peers,
+                lambda service, peer, counts: self.attempts.update({peer: counts}),
+                self.retain_peers,
                 self.on_table,
-                self.on_ends,
-                lambda: list(self.ends),
-                self.serve_asker,
+                self.on_crashes,
+                lambda: list(self.crashes),
+                self.serve_allowances,
             ),
             WINDOW_SECONDS,
             mesh_limit,
         )
 
-    def keep_peers(self, peers: Container[str]) -> None:
-        self.sends = {p: counts for p, counts in self.sends.items() if p in peers}
+    def retain_peers(self, peers: Container[str]) -> None:
+        self.attempts = {p: counts for p, counts in self.attempts.items() if p in peers}
 
     def on_table(self, news: TableUpdate) -> bool:
         self.tables.append(news)
         return True
 
-    async def serve_asker(self, first: AllowanceAsk, stream: PeerStream) -> None:
+    async def serve_allowances(self, first: AllowanceAsk, stream: PeerStream) -> None:
         raise AssertionError("nobody asks here")
 
-    def on_ends(self, ends: list[ServerCrash], sender: str) -> list[ServerCrash]:
-        news = [end for end in ends if end not in self.ends]
-        self.ends += news
+    def on_crashes(self, crashes: list[ServerCrash], sender: str) -> list[ServerCrash]:
+        news = [crash for crash in crashes if crash not in self.crashes]
+        self.crashes += news
         return news
 
     def sum_load(self) -> Load:
         return self.table.sum_load("a", trio.current_time())
 
-    def sum_sends(self) -> AttemptCounts:
+    def sum_attempts(self) -> AttemptCounts:
         total = AttemptCounts(10, 2)
-        for counts in self.sends.values():
+        for counts in self.attempts.values():
             total = total.add(counts)
         return total
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -18,13 +18,13 @@
 from ashpond.fleet import exchange as exchange_module
 from ashpond.fleet.links import (
     BYTES_PER_MBIT,
-    HOLDING_BYTES,
-    HOLDINGS_SHARE,
-    MAX_GROUP_HOLDINGS,
-    MIN_GROUP_HOLDINGS,
+    CACHE_ENTRIES_SHARE,
+    CACHE_ENTRY_BYTES,
+    MAX_GROUP_CACHE_ENTRIES,
+    MIN_GROUP_CACHE_ENTRIES,
     Link,
     PeerRole,
-    limit_holdings,
+    limit_cache_entries,
 )
 from ashpond.fleet.members import Members
 from ashpond.fleet.updates import ServerNotice
@@ -44,23 +44,25 @@
 ) -> None:
     first, *others = instances
     notice = ServerNotice("a", "m1", 2, 0.5)
-    holding = CacheEntry("a", "salt", "rules")
+    cache_entry = CacheEntry("a", "salt", "rules")
     async with trio.open_nursery() as nursery:
         for instance in instances:
             nursery.start_soon(instance.run)
         await wait_for(lambda: len(first.peers.list_links()) == 2)
         first.table.by_id["a"].load = Load(3, 100, 200)
         first.peers.announce(notice)
-        first.peers.tell_holding(holding)
+        first.peers.send_cache_entry(cache_entry)
         await wait_for(lambda: all(notice in other.notices for other in others))
-        await wait_for(lambda: all(holding in other.holdings for other in others))
+        await wait_for(
+            lambda: all(cache_entry in other.cache_entries for other in others)
+        )
 
         def all_know() -> bool:
             now = trio.current_time()
             return all(o.table.sum_load("a", now) == Load(3, 100, 200) for o in others)
 
         await wait_for(all_know)
-        assert AttemptCounts(10, 2) in others[0].sends.values()
+        assert AttemptCounts(10, 2) in others[0].attempts.values()
         assert first.members.count() == 3
         nursery.cancel_scope.cancel()
 
@@ -188,14 +190,14 @@
     """
     link = Link(PeerRole.EQUAL, "i1")
     notice, newer = ServerNotice("a", "m1", 2, 0.0), ServerNotice("a", "m1", 3, 0.0)
-    holding = CacheEntry("a", "salt", "rules")
-    link.add([notice], [holding])
+    cache_entry = CacheEntry("a", "salt", "rules")
+    link.add([notice], [cache_entry])
     stream: Any = FailingStream(error)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(instances[0].peers._converse, link, stream)
         await stream.is_sending.wait()
         link.add([newer])
-    assert link.take() == ([notice, newer], [holding])
+    assert link.take() == ([notice, newer], [cache_entry])
 
 
 async def test_news_too_large_for_a_frame_are_not_kept(
@@ -211,22 +213,28 @@
 
 def test_in_a_group_few_holdings_wait_for_a_turn() -> None:
     """Hubs that passed all of them on had their links choked on a scale day."""
-    holdings = [CacheEntry("a", "salt", f"part{n}") for n in range(100)]
+    cache_entries = [CacheEntry("a", "salt", f"part{n}") for n in range(100)]
     for role in PeerRole:
-        most = MAX_GROUP_HOLDINGS if role is not PeerRole.EQUAL else 200
+        most = MAX_GROUP_CACHE_ENTRIES if role is not PeerRole.EQUAL else 200
         link = Link(role, "i1", most)
-        link.add(holdings=holdings)
-        link.add(holdings=holdings)
-        assert len(link.holdings) == most
+        link.add(cache_entries=cache_entries)
+        link.add(cache_entries=cache_entries)
+        assert len(link.cache_entries) == most
 
 
 def test_a_hub_tells_as_many_holdings_as_its_link_bears() -> None:
     """A narrow machine's link has to carry answers; a wide one loses two of three."""
     turn = 0.12
-    assert limit_holdings(PeerRole.MEMBER, 200.0, 15, turn) == MAX_GROUP_HOLDINGS
-    assert limit_holdings(PeerRole.MEMBER, 20.0, 15, turn) == MIN_GROUP_HOLDINGS
-    assert limit_holdings(PeerRole.MEMBER, 0.0, 15, turn) == MIN_GROUP_HOLDINGS
-    between = limit_holdings(PeerRole.OTHER_HUB, 60.0, 15, turn)
-    assert MIN_GROUP_HOLDINGS < between < MAX_GROUP_HOLDINGS
-    spent = between * HOLDING_BYTES * 30 / turn
-    assert spent <= 60.0 * BYTES_PER_MBIT * HOLDINGS_SHARE
+    assert (
+        limit_cache_entries(PeerRole.MEMBER, 200.0, 15, turn) == MAX_GROUP_CACHE_ENTRIES
+    )
+    assert (
+        limit_cache_entries(PeerRole.MEMBER, 20.0, 15, turn) == MIN_GROUP_CACHE_ENTRIES
+    )
+    assert (
+        limit_cache_entries(PeerRole.MEMBER, 0.0, 15, turn) == MIN_GROUP_CACHE_ENTRIES
+    )
+    between = limit_cache_entries(PeerRole.OTHER_HUB, 60.0, 15, turn)
+    assert MIN_GROUP_CACHE_ENTRIES < between < MAX_GROUP_CACHE_ENTRIES
+    spent = between * CACHE_ENTRY_BYTES * 30 / turn
+    assert spent <= 60.0 * BYTES_PER_MBIT * CACHE_ENTRIES_SHARE
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -62,40 +62,40 @@
     grouped: list[Instance],
 ) -> None:
     notice = ServerNotice("a", "m1", 2, 0.5)
-    holding = CacheEntry("a", "salt", "rules")
+    cache_entry = CacheEntry("a", "salt", "rules")
     async with running(grouped):
         hubs = [i for i in grouped if i.peers.is_hub]
         assert len(hubs) >= 2
         for number, instance in enumerate(grouped):
             instance.table.by_id["a"].load = Load(number, 10, 20, 1)
         await wait_for(lambda: all(i.sum_load().requests == 45 for i in grouped))
-        await wait_for(lambda: all(i.sum_sends() == (100, 20) for i in grouped))
+        await wait_for(lambda: all(i.sum_attempts() == (100, 20) for i in grouped))
         speaker = next(i for i in grouped if not i.peers.is_hub)
         speaker.peers.announce(notice)
-        speaker.peers.tell_holding(holding)
+        speaker.peers.send_cache_entry(cache_entry)
         others = [i for i in grouped if i is not speaker]
         await wait_for(lambda: all(notice in i.notices for i in others))
-        await wait_for(lambda: all(holding in i.holdings for i in others))
+        await wait_for(lambda: all(cache_entry in i.cache_entries for i in others))
         assert notice not in speaker.notices
 
 
 async def test_groups_tell_ends_of_servers_and_who_is_new_hears_of_all(
     grouped: list[Instance],
 ) -> None:
-    end = make_crash("a")
+    crash = make_crash("a")
     *running_now, late = grouped
     async with running(grouped):
         late.scope.cancel()
         speaker = next(i for i in running_now if not i.peers.is_hub)
-        speaker.ends.append(end)
-        speaker.peers.tell_ends([end])
-        await wait_for(lambda: all(end in i.ends for i in running_now))
-        assert all(i.ends.count(end) == 1 for i in running_now)
-        late.ends.clear()
+        speaker.crashes.append(crash)
+        speaker.peers.send_crashes([crash])
+        await wait_for(lambda: all(crash in i.crashes for i in running_now))
+        assert all(i.crashes.count(crash) == 1 for i in running_now)
+        late.crashes.clear()
         late.scope = trio.CancelScope()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(late.run)
-            await wait_for(lambda: end in late.ends)
+            await wait_for(lambda: crash in late.crashes)
             nursery.cancel_scope.cancel()
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -36,7 +36,7 @@
     ServerCrash,
 )
 from ashpond.errors import FrameError
-from ashpond.fleet.updates import decode_ends
+from ashpond.fleet.updates import decode_crashes
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.store import InvalidRow, Row
 from ashpond.standins.tables import MemoryStore
@@ -673,7 +673,7 @@
     complete = list(make_crash())
     for message in (crashes, [complete, *crashes], [complete[:-1]], [[*complete, 1]]):
         try:
-            _, found = decode_ends(ServerEndNews("i", "own", message))
+            _, found = decode_crashes(ServerEndNews("i", "own", message))
         except FrameError:
             continue
         assert [list(crash) for crash in found] == message
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -40,8 +40,8 @@
     view = make_hub_view()
     assert view.sum_group(make_work(8), 0.1).loads["a"].requests == 11
     assert view.sum_fleet(make_work(8), "m1#1", 0.1).loads["a"].requests == 14
-    sends = view.sum_fleet(make_work(8), "m1#1", 0.1).sends
-    assert sends["reader"] == AttemptCounts(14, 3)
+    attempts = view.sum_fleet(make_work(8), "m1#1", 0.1).attempts
+    assert attempts["reader"] == AttemptCounts(14, 3)
 
 
 def test_loads_age_sooner_than_sends() -> None:
@@ -49,8 +49,8 @@
     later = PEER_LOAD_SECONDS + 0.1
     work = view.sum_group(make_work(8), later)
     assert work.loads["a"].requests == 8
-    assert work.sends["reader"].first == 11
-    assert view.sum_group(make_work(8), WINDOW + 1).sends["reader"].first == 8
+    assert work.attempts["reader"].first == 11
+    assert view.sum_group(make_work(8), WINDOW + 1).attempts["reader"].first == 8
 
 
 def test_a_hubs_word_counts_alone_while_it_speaks() -> None:
@@ -77,7 +77,7 @@
 def test_the_word_of_a_groups_next_hub_replaces_that_of_the_last() -> None:
     view = make_hub_view()
     tell(view, "group south", Scope.GROUP, 5, 0.2)
-    assert view.sum_fleet(make_work(0), "m1#1", 0.3).sends["reader"].first == 7
+    assert view.sum_fleet(make_work(0), "m1#1", 0.3).attempts["reader"].first == 7
 
 
 def test_what_no_longer_counts_is_dropped() -> None:
@@ -119,5 +119,5 @@
         for name in "abc":
             requests = sum(w.loads.get(name, Load()).requests for w in others)
             assert found.loads.get(name, Load()).requests == requests
-            fresh = sum(w.sends.get(name, AttemptCounts()).first for w in others)
-            assert found.sends.get(name, AttemptCounts()).first == fresh
+            fresh = sum(w.attempts.get(name, AttemptCounts()).first for w in others)
+            assert found.attempts.get(name, AttemptCounts()).first == fresh
