--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -47,7 +47,7 @@
                 bounds.retry_window_s,
                 self._started_at,
             )
-        budget.lag = self._get_updates().measure_lag()
+        budget.lag = self._get_updates().get_max_lag()
         return budget
 
     def reset(self) -> None:
--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -16,7 +16,7 @@
     update_limit,
     update_limit_from_peer,
 )
-from ashpond.fleet.updates import MAX_CLOSED_SECONDS, LimitNotice, ServerNotice
+from ashpond.fleet.updates import MAX_EXCLUDED_SECONDS, LimitNotice, ServerNotice
 
 if TYPE_CHECKING:
     from ashpond.controllers.directory import ServerState, ServerTable
@@ -152,7 +152,7 @@
         if source == "answer":
             info = state.info
             notice = ServerNotice(
-                info.id, "", 0, 0.0, born=info.started_ms, is_leaving=True
+                info.id, "", 0, 0.0, started_ms=info.started_ms, is_leaving=True
             )
             self._send_notice(notice)
 
@@ -177,9 +177,9 @@
 
     def _send_limit(self, state: ServerState, age: float) -> None:
         info = state.info
-        limit = LimitNotice(state.rate_limit.rate, min(age, MAX_CLOSED_SECONDS))
+        limit = LimitNotice(state.rate_limit.rate, min(age, MAX_EXCLUDED_SECONDS))
         self._send_notice(
-            ServerNotice(info.id, "", 0, 0.0, born=info.started_ms, limit=limit)
+            ServerNotice(info.id, "", 0, 0.0, started_ms=info.started_ms, limit=limit)
         )
 
     def _note(self, state: ServerState, event: str, **fields: object) -> None:
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -80,7 +80,9 @@
         """Apply a peer's notice of a change at a server, unless its start is older."""
         now = trio.current_time()
         weights = {notice.model: notice.version} if notice.version else {}
-        order = self._table.note_start(notice.server_id, notice.born, now, weights)
+        order = self._table.note_start(
+            notice.server_id, notice.started_ms, now, weights
+        )
         if order is StartOrder.OLDER:
             return
         state = self._table.by_id.get(notice.server_id)
@@ -90,14 +92,14 @@
             return
         if notice.is_unreached:
             if state is not None:
-                state.note_peer_connect_failure(notice.closed_seconds, now)
+                state.note_peer_connect_failure(notice.excluded_seconds, now)
             return
         self._get_rollouts().note_progress()
         if state is None:
             return
         state.update_weights(notice.model, notice.version)
-        if notice.closed_seconds:
-            state.exclude_for(notice.closed_seconds, now)
+        if notice.excluded_seconds:
+            state.exclude_for(notice.excluded_seconds, now)
         else:
             state.readmit()
             self._wake()
@@ -137,5 +139,5 @@
     def announce_unreachable(self, state: ServerState, seconds: float) -> None:
         """Notify the peers that a connection to a server failed."""
         info = state.info
-        notice = ServerNotice(info.id, "", 0, seconds, True, born=info.started_ms)
+        notice = ServerNotice(info.id, "", 0, seconds, True, started_ms=info.started_ms)
         self._get_news().announce(notice)
--- a/ashpond/controllers/storeview.py
+++ b/ashpond/controllers/storeview.py
@@ -266,7 +266,7 @@
             MEMBERS_WAIT_SECONDS,
             SERVERS_PAUSE_SECONDS,
             MEMBERS_WAIT_SECONDS + idle_timeout,
-            members.take_rows,
+            members.apply_rows,
             lambda: None,
         ),
     ]
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/world.py
@@ -281,8 +281,8 @@
                     continue
                 instance.rollouts.note_progress()
                 state.update_weights(notice.model, notice.version)
-                if notice.closed_seconds:
-                    state.exclude_for(notice.closed_seconds, now)
+                if notice.excluded_seconds:
+                    state.exclude_for(notice.excluded_seconds, now)
                 else:
                     state.readmit()
                     instance.places.assign()
--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -33,21 +33,21 @@
 from ashpond.fleet.intervals import (
     GROUP_LAG_SECONDS,
     HEARTBEAT_SECONDS,
-    choose_pause,
+    choose_update_interval,
 )
 from ashpond.fleet.links import (
     PEER_ERRORS,
     Link,
     PeerRole,
     UpdateMessage,
-    await_end,
-    is_first_reached,
+    is_first_reachable,
     is_relied_on,
     limit_cache_entries,
-    list_wanted,
+    list_required_links,
     receive_first,
-    receive_news,
-    strip_life,
+    receive_update,
+    run_until_first_end,
+    strip_incarnation,
 )
 from ashpond.fleet.members import Members
 from ashpond.fleet.reconnection import MAX_FRAME_BYTES, keep_connected
@@ -58,13 +58,13 @@
     UpdateHandlers,
     decode_changes,
     decode_crashes,
-    decode_news,
     decode_notices,
+    decode_update,
 )
 from ashpond.fleet.view import FleetView, InstanceLoad, PeerReport, Scope
 from ashpond.gateway.decisionlog import DecisionLog
 
-LIFE_BYTES = 4
+INCARNATION_BYTES = 4
 
 
 class PeerExchange:
@@ -87,7 +87,7 @@
         self._table = table
         self._log = log
         self._handlers = handlers
-        self._life = f"{self._name}#{secrets.token_hex(LIFE_BYTES)}"
+        self._incarnation = f"{self._name}#{secrets.token_hex(INCARNATION_BYTES)}"
         self._outgoing: dict[tuple[PeerRole, Member], Link] = {}
         self._own_members: list[Link] = []
         self._counted: set[str] = set()
@@ -106,18 +106,18 @@
 
     def announce(self, notice: ServerNotice) -> None:
         """Tell all peers of a change at once."""
-        for link in self._list_listeners():
+        for link in self._list_dependent_links():
             link.add([notice])
             link.wake()
 
     def send_cache_entry(self, cache_entry: CacheEntry) -> None:
         """Tell all peers, with the next news, what an engine has read."""
-        for link in self._list_listeners():
+        for link in self._list_dependent_links():
             link.add(cache_entries=[cache_entry])
 
     def send_crashes(self, crashes: Sequence[ServerCrash]) -> None:
         """Tell all peers at once which requests servers have ended under."""
-        for link in self._list_listeners():
+        for link in self._list_dependent_links():
             link.add(crashes=crashes)
             link.wake()
 
@@ -126,14 +126,14 @@
         """Whether this instance asks the store itself, and tells those that do not."""
         return not self.links.group or (self._is_hub and self.links.is_reader)
 
-    def measure_lag(self) -> float:
+    def get_max_lag(self) -> float:
         """Return how late reports of others' work may arrive, 0 in a flat fleet."""
         return GROUP_LAG_SECONDS if self.links.group else 0.0
 
-    def publish(self, news: TableUpdate) -> None:
+    def publish(self, update: TableUpdate) -> None:
         """Tell the fleet what the store answered, or as no reader the own group."""
         scope = Scope.MEMBER if self.is_reader else Scope.GROUP
-        self._pass_on(scope, self._life, tables=[news])
+        self._forward(scope, self._incarnation, tables=[update])
 
     async def run(
         self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
@@ -145,9 +145,9 @@
             self.adjust_links()
             target = parse_address(self.members.own.address)
             listeners = await trio.open_tcp_listeners(target.port, host=target.host)
-            nursery.start_soon(trio.serve_listeners, self._receive, listeners)
-            nursery.start_soon(self._take_turns)
-            nursery.start_soon(self.members.keep_rows)
+            nursery.start_soon(trio.serve_listeners, self._serve_connection, listeners)
+            nursery.start_soon(self._schedule_updates)
+            nursery.start_soon(self.members.restore_rows)
             await self.members.register()
             task_status.started()
 
@@ -168,13 +168,13 @@
         self.links = links
         self.view.set_hubs(member.name for member in links.preferred_hubs)
         self._is_hub = self._should_act_as_hub(trio.current_time())
-        wanted = list_wanted(links, is_hub=self._is_hub)
-        for key in self._outgoing.keys() - wanted:
+        required = list_required_links(links, is_hub=self._is_hub)
+        for key in self._outgoing.keys() - required:
             self._outgoing.pop(key).scope.cancel()
-        for role, member in sorted(wanted - self._outgoing.keys(), key=str):
+        for role, member in sorted(required - self._outgoing.keys(), key=str):
             link = Link(role, member.name, self._limit_cache_entries(role))
             self._outgoing[role, member] = link
-            self._nursery.start_soon(self._feed_peer, link, member.address)
+            self._nursery.start_soon(self._keep_connected, link, member.address)
 
     def _should_act_as_hub(self, now: float) -> bool:
         """Return whether this instance should act as the hub of its group."""
@@ -188,37 +188,42 @@
     def _check_hub(self, now: float) -> None:
         """Take over the work of the group's hub, or leave it, if it is time."""
         self.view.expire(now)
-        self._keep_counted(now)
+        self._retain_counted(now)
         if self._should_act_as_hub(now) != self._is_hub:
             self.adjust_links()
             hubs = list_names(self.links.preferred_hubs)
             self._log.note("news_hub", is_hub=self._is_hub, hubs=hubs)
 
-    async def _feed_peer(self, link: Link, address: str) -> None:
-        await keep_connected(link, address, self.members, self._log, self._converse)
+    async def _keep_connected(self, link: Link, address: str) -> None:
+        await keep_connected(
+            link, address, self.members, self._log, self._use_connection
+        )
 
-    async def _converse(self, link: Link, stream: PeerStream) -> str:
+    async def _use_connection(self, link: Link, stream: PeerStream) -> str:
         """Send news, take those of a hub; return why the connection ended."""
         link.is_connected = True
         try:
             if link.role is not PeerRole.HUB:
-                return await await_end(lambda: self._send_news(link, stream))
-            return await await_end(
-                lambda: self._send_news(link, stream), lambda: self._take_all(stream)
+                return await run_until_first_end(
+                    lambda: self._send_updates(link, stream)
+                )
+            return await run_until_first_end(
+                lambda: self._send_updates(link, stream),
+                lambda: self._receive_updates(stream),
             )
         finally:
             link.is_connected = False
             with trio.CancelScope(shield=True):
                 await stream.aclose()
 
-    async def _take_turns(self) -> None:
+    async def _schedule_updates(self) -> None:
         """Wake the links that have something to tell, all in the same turn.
 
         A link that has nothing costs no wake-up: of a hub's 43 links, 15 only hold
         connections to those that stand by.
         """
         while True:
-            await trio.sleep(choose_pause(self.links.group))
+            await trio.sleep(choose_update_interval(self.links.group))
             now = trio.current_time()
             self._check_hub(now)
             for link in self.list_links():
@@ -226,7 +231,7 @@
                     link.is_due = True
                     link.wake()
 
-    async def _send_news(self, link: Link, stream: PeerStream) -> None:
+    async def _send_updates(self, link: Link, stream: PeerStream) -> None:
         """Tell a peer that has just been connected to, and then what is new.
 
         What is urgent goes by itself: with the work of all servers, 2.8 KB for 123 of
@@ -236,13 +241,15 @@
         link.crashes.clear()
         link.add(crashes=self._handlers.list_crashes())
         while True:
-            await send_urgent(self._life, link, stream)
+            await send_urgent(self._incarnation, link, stream)
             if link.is_due:
                 link.is_due = False
                 now = trio.current_time()
-                work = self._build_work(link, now)
-                await send_digest(self._life, self.links.group, link, stream, work)
-                link.sent = work
+                load = self._build_load(link, now)
+                await send_digest(
+                    self._incarnation, self.links.group, link, stream, load
+                )
+                link.sent = load
                 link.sent_at = now
             await link.wait()
 
@@ -250,13 +257,13 @@
         """Return whether a peer should be told of the work, and what has happened."""
         if link.sent is None or now - link.sent_at >= HEARTBEAT_SECONDS:
             return True
-        if not self._needs_all(link):
+        if not self._needs_updates(link):
             return False
         if link.notices or link.cache_entries or link.tables:
             return True
-        return self._build_work(link, now).loads != link.sent.loads
+        return self._build_load(link, now).loads != link.sent.loads
 
-    def _build_work(self, link: Link, now: float) -> InstanceLoad:
+    def _build_load(self, link: Link, now: float) -> InstanceLoad:
         own = InstanceLoad(self._table.list_own_loads(), self._handlers.list_attempts())
         if link.role is PeerRole.OTHER_HUB:
             return self.view.sum_group(own, now)
@@ -264,13 +271,13 @@
             return self.view.sum_fleet(own, link.name, now)
         return own
 
-    def _list_listeners(self) -> list[Link]:
-        return [link for link in self.list_links() if self._needs_all(link)]
+    def _list_dependent_links(self) -> list[Link]:
+        return [link for link in self.list_links() if self._needs_updates(link)]
 
-    def _needs_all(self, link: Link) -> bool:
+    def _needs_updates(self, link: Link) -> bool:
         """Return whether a peer relies on this link; others need heartbeats only."""
         if link.role is PeerRole.OTHER_HUB:
-            return is_first_reached(link.name, self.links.other_hubs, self._outgoing)
+            return is_first_reachable(link.name, self.links.other_hubs, self._outgoing)
         hub = self.view.find_hub(trio.current_time())
         return is_relied_on(link, hub, is_hub=self._is_hub)
 
@@ -278,10 +285,10 @@
         link_mbps = self.members.own.link_mbps
         groups = len(self.links.other_hubs)
         return limit_cache_entries(
-            role, link_mbps, groups, choose_pause(self.links.group)
+            role, link_mbps, groups, choose_update_interval(self.links.group)
         )
 
-    async def _receive(self, raw: trio.SocketStream) -> None:
+    async def _serve_connection(self, raw: trio.SocketStream) -> None:
         """Take the news of a peer that has connected; answer a group's member."""
         watch_liveness(raw.socket)
         stream = PeerStream(raw, self.members.secret, MAX_FRAME_BYTES)
@@ -290,9 +297,9 @@
             first = await receive_first(stream)
             if isinstance(first, AllowanceAsk):
                 serve = self._handlers.serve_allowances
-                reason = await await_end(lambda: serve(first, stream))
+                reason = await run_until_first_end(lambda: serve(first, stream))
             else:
-                reason = await self._hear(first, stream)
+                reason = await self._handle_updates(first, stream)
         except PEER_ERRORS as error:
             reason = repr(error)
         finally:
@@ -300,82 +307,85 @@
                 await stream.aclose()
         self._log.note("peer_stream_ended", reason=reason)
 
-    async def _hear(self, first: UpdateMessage, stream: PeerStream) -> str:
+    async def _handle_updates(self, first: UpdateMessage, stream: PeerStream) -> str:
         """Take the news of a peer; return why the connection ended."""
-        self._take(first)
+        self._apply(first)
         if first.scope == Scope.MEMBER:
             return await self._serve_member(first.sender, stream)
-        return await await_end(lambda: self._take_all(stream))
+        return await run_until_first_end(lambda: self._receive_updates(stream))
 
-    async def _serve_member(self, life: str, stream: PeerStream) -> str:
+    async def _serve_member(self, incarnation: str, stream: PeerStream) -> str:
         limit = self._limit_cache_entries(PeerRole.MEMBER)
-        link = Link(PeerRole.MEMBER, life, limit)
+        link = Link(PeerRole.MEMBER, incarnation, limit)
         self._own_members.append(link)
         try:
-            return await await_end(
-                lambda: self._send_news(link, stream), lambda: self._take_all(stream)
+            return await run_until_first_end(
+                lambda: self._send_updates(link, stream),
+                lambda: self._receive_updates(stream),
             )
         finally:
             self._own_members.remove(link)
 
-    async def _take_all(self, stream: PeerStream) -> None:
+    async def _receive_updates(self, stream: PeerStream) -> None:
         while True:
-            self._take(await receive_news(stream))
+            self._apply(await receive_update(stream))
 
-    def _take(self, message: UpdateMessage) -> None:
+    def _apply(self, message: UpdateMessage) -> None:
         try:
             if isinstance(message, News):
-                self._take_digest(message.sender, decode_news(message))
+                self._apply_digest(message.sender, decode_update(message))
             elif isinstance(message, Notices):
-                self._take_notices(message.sender, *decode_notices(message))
+                self._apply_notices(message.sender, *decode_notices(message))
             elif isinstance(message, ServerEndNews):
                 self._apply_crashes(message.sender, *decode_crashes(message))
             else:
-                self._take_changes(message.sender, *decode_changes(message))
+                self._apply_changes(message.sender, *decode_changes(message))
         except FrameError as error:
             self._log.note("peer_news_invalid", peer=message.sender, reason=str(error))
 
-    def _take_changes(self, sender: str, scope: Scope, news: TableUpdate) -> None:
-        if self._handlers.on_table(news):
-            self._pass_on(scope, sender, tables=[news])
+    def _apply_changes(self, sender: str, scope: Scope, update: TableUpdate) -> None:
+        if self._handlers.on_table(update):
+            self._forward(scope, sender, tables=[update])
 
     def _apply_crashes(
         self, sender: str, scope: Scope, crashes: list[ServerCrash]
     ) -> None:
-        news = self._handlers.on_crashes(crashes, strip_life(sender))
-        self._pass_on(scope, sender, crashes=news)
+        update = self._handlers.on_crashes(crashes, strip_incarnation(sender))
+        self._forward(scope, sender, crashes=update)
 
-    def _take_notices(
+    def _apply_notices(
         self, sender: str, scope: Scope, notices: list[ServerNotice]
     ) -> None:
         for notice in notices:
             self._handlers.on_notice(notice)
-        self._pass_on(scope, sender, notices)
+        self._forward(scope, sender, notices)
 
-    def _take_digest(self, sender: str, digest: Digest) -> None:
+    def _apply_digest(self, sender: str, digest: Digest) -> None:
         now = trio.current_time()
         scope = digest.scope
         key = f"group {digest.group}" if scope is Scope.GROUP else sender
-        self.view.note(key, PeerReport(strip_life(sender), scope, now, digest.work))
-        self._keep_counted(now)
+        self.view.note(
+            key, PeerReport(strip_incarnation(sender), scope, now, digest.load)
+        )
+        self._retain_counted(now)
         if key in self._counted:
-            self._table.note_peer_loads(key, digest.work.loads, now)
-            for service, counts in digest.work.attempts.items():
+            self._table.note_peer_loads(key, digest.load.loads, now)
+            for service, counts in digest.load.attempts.items():
                 self._handlers.on_attempts(service, key, counts)
         for notice in digest.notices:
             self._handlers.on_notice(notice)
         for cache_entry in digest.cache_entries:
             self._handlers.on_cache_entry(cache_entry)
-        self._pass_on(scope, sender, digest.notices, digest.cache_entries)
+        self._forward(scope, sender, digest.notices, digest.cache_entries)
 
-    def _keep_counted(self, now: float) -> None:
+    def _retain_counted(self, now: float) -> None:
         counted = set(self.view.list_counted(now))
         if self._counted - counted:
             self._table.retain_peer_loads(counted)
             self._handlers.retain_peers(counted)
         self._counted = counted
 
-    def _pass_on(
+    def _forward(
         self,
         scope: Scope,
         sender: str,
@@ -393,5 +403,5 @@
             links += [o for o in others if o.role is PeerRole.OTHER_HUB]
         for link in links:
             link.add(notices, cache_entries, tables, crashes)
-            if link.is_urgent and self._needs_all(link):
+            if link.is_urgent and self._needs_updates(link):
                 link.wake()
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -5,17 +5,17 @@
 __all__ = [
     "PEER_ERRORS",
     "SCOPE_BY_ROLE",
-    "PeerRole",
     "Link",
+    "PeerRole",
     "UpdateMessage",
-    "await_end",
-    "is_first_reached",
+    "is_first_reachable",
     "is_relied_on",
     "limit_cache_entries",
-    "list_wanted",
+    "list_required_links",
     "receive_first",
-    "receive_news",
-    "strip_life",
+    "receive_update",
+    "run_until_first_end",
+    "strip_incarnation",
 ]
 
 from collections import deque
@@ -177,14 +177,14 @@
         del self.cache_entries[self.max_cache_entries :]
 
 
-def list_wanted(links: Links, *, is_hub: bool) -> set[tuple[PeerRole, Member]]:
+def list_required_links(links: Links, *, is_hub: bool) -> set[tuple[PeerRole, Member]]:
     """Return whom an instance links to, and as what."""
-    wanted = {(PeerRole.EQUAL, member) for member in links.mesh_peers}
-    wanted |= {(PeerRole.HUB, member) for member in links.preferred_hubs}
+    required = {(PeerRole.EQUAL, member) for member in links.mesh_peers}
+    required |= {(PeerRole.HUB, member) for member in links.preferred_hubs}
     if is_hub:
         others = [m for candidates in links.other_hubs for m in candidates]
-        wanted |= {(PeerRole.OTHER_HUB, member) for member in others}
-    return wanted
+        required |= {(PeerRole.OTHER_HUB, member) for member in others}
+    return required
 
 
 def is_relied_on(link: Link, hub: str | None, *, is_hub: bool) -> bool:
@@ -195,11 +195,11 @@
     if link.role is PeerRole.MEMBER:
         return is_hub
     if link.role is PeerRole.HUB:
-        return hub is None or strip_life(hub) == link.name
+        return hub is None or strip_incarnation(hub) == link.name
     return True
 
 
-def is_first_reached(
+def is_first_reachable(
     name: str,
     other_hubs: Iterable[Sequence[Member]],
     links: Mapping[tuple[PeerRole, Member], Link],
@@ -218,7 +218,7 @@
     return True
 
 
-async def await_end(*tasks: Callable[[], Awaitable[None]]) -> str:
+async def run_until_first_end(*tasks: Callable[[], Awaitable[None]]) -> str:
     """Run tasks until one of them fails; return the reason."""
     reasons: list[str] = []
     async with trio.open_nursery() as nursery:
@@ -235,12 +235,12 @@
     return ", ".join(reasons)
 
 
-def strip_life(life: str) -> str:
+def strip_incarnation(incarnation: str) -> str:
     """Return the name of the instance whose life this is."""
-    return life.rpartition("#")[0]
+    return incarnation.rpartition("#")[0]
 
 
-async def receive_news(stream: PeerStream) -> UpdateMessage:
+async def receive_update(stream: PeerStream) -> UpdateMessage:
     """Return the next news; other messages are passed over."""
     while True:
         message = await stream.receive()
--- a/ashpond/fleet/members.py
+++ b/ashpond/fleet/members.py
@@ -24,11 +24,11 @@
 SECRET_BYTES = 24
 # Instances whose rows a store that came back does not hold write them again; until then
 # they count as there (seconds).
-RETURN_SECONDS = 5.0
+RESTORE_SECONDS = 5.0
 # Instances that have left are remembered, as a copy may hold their rows.
 MAX_LEFT = 1_000
 # In a deployment that has just started, the copy may lack the secret (seconds).
-YOUNG_SECONDS = 60.0
+NEW_DEPLOYMENT_SECONDS = 60.0
 # A write or read that failed is tried again after this (seconds).
 RETRY_SECONDS = 0.3
 
@@ -92,37 +92,40 @@
         self._left: dict[str, None] = {}
         # Those that the store does not hold any more, and until when they count.
         self._missing: dict[str, float] = {}
-        self._is_returned = False
-        self._to_restore: list[tuple[list[Condition], Row]] = []
+        self._is_restored = False
+        self._pending_writes: list[tuple[list[Condition], Row]] = []
         self._needs_secret = False
-        self._restore = trio.Event()
+        self._restore_needed = trio.Event()
         store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
         """Expect a table that lacks rows, and holds those of instances that left."""
-        self._is_returned = True
-        if self.secret and trio.current_time() - self._agreed_at < YOUNG_SECONDS:
+        self._is_restored = True
+        if (
+            self.secret
+            and trio.current_time() - self._agreed_at < NEW_DEPLOYMENT_SECONDS
+        ):
             self._needs_secret = True
-            self._restore.set()
+            self._restore_needed.set()
 
-    async def keep_rows(self) -> None:
+    async def restore_rows(self) -> None:
         """Write again what a store that came back lacks, until cancelled."""
         while True:
-            await self._restore.wait()
-            self._restore = trio.Event()
+            await self._restore_needed.wait()
+            self._restore_needed = trio.Event()
             if self._needs_secret:
                 self._needs_secret = False
-                await self._agree_again()
-            restored, self._to_restore = self._to_restore, []
+                await self._restore_secret()
+            restored, self._pending_writes = self._pending_writes, []
             for conditions, row in restored:
                 outcome = await self._store.write(conditions, [row])
                 if not isinstance(outcome, Done | Conflict):
-                    self._to_restore.append((conditions, row))
-            if self._to_restore:
+                    self._pending_writes.append((conditions, row))
+            if self._pending_writes:
                 await trio.sleep(RETRY_SECONDS)
-                self._restore.set()
+                self._restore_needed.set()
 
-    async def _agree_again(self) -> None:
+    async def _restore_secret(self) -> None:
         """Write the known secret if the store has none, and go by the one it holds."""
         row = Row(SECRET_TABLE, SECRET_KEY, self.secret.encode(), 0)
         await self._store.write([Condition(SECRET_TABLE, SECRET_KEY, 0)], [row])
@@ -130,7 +133,7 @@
         if not isinstance(outcome, Done):
             self._needs_secret = True
             await trio.sleep(RETRY_SECONDS)
-            self._restore.set()
+            self._restore_needed.set()
             return
         for held in outcome.value.rows:
             found = decode_secret(held)
@@ -193,11 +196,11 @@
         elif not isinstance(written, Conflict):
             await trio.sleep(RETRY_SECONDS)
 
-    def take_rows(self, snapshot: Snapshot, is_whole: bool, as_of: float) -> None:
+    def apply_rows(self, snapshot: Snapshot, is_whole: bool, as_of: float) -> None:
         """Take over rows of the members' table."""
         before = dict(self.by_name)
         if is_whole:
-            self.by_name = self._keep_missing(snapshot) if self._is_returned else {}
+            self.by_name = self._keep_missing(snapshot) if self._is_restored else {}
         for row in snapshot.rows:
             found = decode_member_row(row)
             if isinstance(found, InvalidRow):
@@ -209,16 +212,16 @@
             self._missing.pop(row.key, None)
             if found is None:
                 self.by_name.pop(row.key, None)
-                self._note_left(row.key)
-            elif is_whole and self._is_returned and row.key in self._left:
+                self._record_left(row.key)
+            elif is_whole and self._is_restored and row.key in self._left:
                 # It left after the copy was made; its row there is removed again.
                 condition = Condition(row.table, row.key, row.version)
-                self._to_restore.append(([condition], row._replace(value=None)))
+                self._pending_writes.append(([condition], row._replace(value=None)))
             else:
                 self.by_name[row.key] = found
                 self._left.pop(row.key, None)
-        if is_whole and self._is_returned:
-            self._is_returned = False
+        if is_whole and self._is_restored:
+            self._is_restored = False
             self._restore_own(snapshot)
         self._log.note(
             "members",
@@ -232,7 +235,7 @@
         """Return the instances that are known and not in a table that came back."""
         there = {row.key for row in snapshot.rows}
         kept = {n: m for n, m in self.by_name.items() if n not in there}
-        until = trio.current_time() + RETURN_SECONDS
+        until = trio.current_time() + RESTORE_SECONDS
         self._missing.update(dict.fromkeys(kept, until))
         return kept
 
@@ -241,11 +244,11 @@
         own = self._make_own_row()
         is_there = any((r.key, r.value) == (own.key, own.value) for r in snapshot.rows)
         if self._is_registered and not is_there:
-            self._to_restore.append(([], own))
-        if self._to_restore:
-            self._restore.set()
+            self._pending_writes.append(([], own))
+        if self._pending_writes:
+            self._restore_needed.set()
 
-    def _note_left(self, name: str) -> None:
+    def _record_left(self, name: str) -> None:
         self._left.pop(name, None)
         self._left[name] = None
         if len(self._left) > MAX_LEFT:
--- a/ashpond/fleet/reconnection.py
+++ b/ashpond/fleet/reconnection.py
@@ -23,7 +23,7 @@
     address: str,
     members: Members,
     log: DecisionLog,
-    converse: Callable[[Link, PeerStream], Awaitable[str]],
+    use_connection: Callable[[Link, PeerStream], Awaitable[str]],
 ) -> None:
     """Connect to a peer, again and again, until the link is cancelled.
 
@@ -43,7 +43,7 @@
                     log.note("peer_regained", peer=link.name)
                 is_lost = False
                 pause = RECONNECT_SECONDS
-                reason = await converse(link, stream)
+                reason = await use_connection(link, stream)
             except PEER_ERRORS as error:
                 reason = repr(error)
             if not is_lost:
--- a/ashpond/fleet/sending.py
+++ b/ashpond/fleet/sending.py
@@ -13,8 +13,8 @@
     Digest,
     encode_changes,
     encode_crashes,
-    encode_news,
     encode_notices,
+    encode_update,
 )
 from ashpond.fleet.view import InstanceLoad
 
@@ -22,51 +22,53 @@
 SEND_SECONDS = 1.0
 
 
-async def send_urgent(life: str, link: Link, stream: PeerStream) -> None:
+async def send_urgent(incarnation: str, link: Link, stream: PeerStream) -> None:
     """Tell changes of tables, ends, and notices that need not wait for a digest.
 
     :param life: the sender's.
     """
     scope = SCOPE_BY_ROLE[link.role]
     while link.tables:
-        changes = encode_changes(life, scope, link.tables.popleft())
+        changes = encode_changes(incarnation, scope, link.tables.popleft())
         with trio.fail_after(SEND_SECONDS):
             await stream.send(changes)
-    await _send_crashes(life, link, stream)
+    await _send_crashes(incarnation, link, stream)
     if not link.notices or link.is_due:
         return
     notices, link.notices = link.notices, []
     try:
         with trio.fail_after(SEND_SECONDS):
-            await stream.send(encode_notices(life, scope, notices))
+            await stream.send(encode_notices(incarnation, scope, notices))
     except BaseException:
         link.put_back(notices, [])
         raise
 
 
-async def _send_crashes(life: str, link: Link, stream: PeerStream) -> None:
+async def _send_crashes(incarnation: str, link: Link, stream: PeerStream) -> None:
     """Tell of ends; a connection that breaks meanwhile begins by telling of all."""
     if not link.crashes:
         return
     crashes = list(link.crashes)
     link.crashes.clear()
     with trio.fail_after(SEND_SECONDS):
-        await stream.send(encode_crashes(life, SCOPE_BY_ROLE[link.role], crashes))
+        await stream.send(
+            encode_crashes(incarnation, SCOPE_BY_ROLE[link.role], crashes)
+        )
 
 
 async def send_digest(
-    life: str, group: str, link: Link, stream: PeerStream, work: InstanceLoad
+    incarnation: str, group: str, link: Link, stream: PeerStream, load: InstanceLoad
 ) -> None:
     """Tell the work, and with it the notices and holdings that wait.
 
     :param life: the sender's, of the group ``group``.
     """
     notices, cache_entries = link.take()
-    digest = Digest(SCOPE_BY_ROLE[link.role], group, work, notices, cache_entries)
-    news = encode_news(life, digest)
+    digest = Digest(SCOPE_BY_ROLE[link.role], group, load, notices, cache_entries)
+    update = encode_update(incarnation, digest)
     try:
         with trio.fail_after(SEND_SECONDS):
-            await stream.send(news)
+            await stream.send(update)
     except FrameError:
         # Too large: it would end the next connection as well.
         raise
--- a/ashpond/fleet/updates.py
+++ b/ashpond/fleet/updates.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 __all__ = [
-    "MAX_CLOSED_SECONDS",
+    "MAX_EXCLUDED_SECONDS",
     "Digest",
     "LimitNotice",
-    "UpdateHandlers",
     "ServerNotice",
+    "UpdateHandlers",
     "decode_changes",
     "decode_crashes",
-    "decode_news",
     "decode_notices",
+    "decode_update",
     "encode_changes",
     "encode_crashes",
-    "encode_news",
     "encode_notices",
+    "encode_update",
 ]
 
 from collections.abc import Awaitable, Callable, Container
@@ -44,10 +44,10 @@
 
 # Far more than any server is closed for; one that is told to be closed for ever would
 # get nothing again (seconds).
-MAX_CLOSED_SECONDS = 600.0
+MAX_EXCLUDED_SECONDS = 600.0
 # In messages, for a store that tells no era.
 NO_ERA = -1
-Seconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_CLOSED_SECONDS)]
+Seconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_EXCLUDED_SECONDS)]
 
 
 class LimitNotice(NamedTuple):
@@ -74,9 +74,9 @@
     server_id: str
     model: str
     version: Count
-    closed_seconds: Seconds
+    excluded_seconds: Seconds
     is_unreached: bool = False
-    born: Count | None = None
+    started_ms: Count | None = None
     limit: LimitNotice | None = None
     is_leaving: bool = False
 
@@ -89,7 +89,7 @@
 
     scope: Scope
     group: str
-    work: InstanceLoad
+    load: InstanceLoad
     notices: list[ServerNotice]
     cache_entries: list[CacheEntry]
 
@@ -123,34 +123,34 @@
     version: Count
 
 
-def encode_news(sender: str, digest: Digest) -> News:
+def encode_update(sender: str, digest: Digest) -> News:
     """Return the message that tells a digest; ``sender`` is a life."""
     return News(
         sender,
         digest.scope,
         digest.group,
-        {server_id: list(load) for server_id, load in digest.work.loads.items()},
+        {server_id: list(load) for server_id, load in digest.load.loads.items()},
         [list(notice) for notice in digest.notices],
         [list(cache_entry) for cache_entry in digest.cache_entries],
-        {service: list(counts) for service, counts in digest.work.attempts.items()},
+        {service: list(counts) for service, counts in digest.load.attempts.items()},
     )
 
 
-def decode_news(news: News) -> Digest:
+def decode_update(update: News) -> Digest:
     """Return what a message tells.
 
     :raises FrameError: if it makes no sense.
     """
     try:
         return Digest(
-            Scope(news.scope),
-            news.group,
+            Scope(update.scope),
+            update.group,
             InstanceLoad(
-                convert_table(news.loads, Load),
-                convert_table(news.sends, AttemptCounts),
+                convert_table(update.loads, Load),
+                convert_table(update.sends, AttemptCounts),
             ),
-            convert_list(news.notices, ServerNotice),
-            convert_list(news.holdings, CacheEntry),
+            convert_list(update.notices, ServerNotice),
+            convert_list(update.holdings, CacheEntry),
         )
     except ValueError as error:
         raise FrameError(f"news that make no sense: {error!r}") from error
@@ -192,19 +192,19 @@
         raise FrameError(f"ends that make no sense: {error!r}") from error
 
 
-def encode_changes(sender: str, scope: Scope, news: TableUpdate) -> TableChanges:
+def encode_changes(sender: str, scope: Scope, update: TableUpdate) -> TableChanges:
     """Return the message that passes changes of a table on."""
-    rows = [[row.key, row.value, row.version] for row in news.rows]
+    rows = [[row.key, row.value, row.version] for row in update.rows]
     return TableChanges(
         sender,
         scope,
-        news.table,
-        news.after,
-        news.version,
-        news.store_time,
+        update.table,
+        update.after,
+        update.version,
+        update.store_time,
         rows,
-        NO_ERA if news.era is None else news.era,
-        news.is_whole,
+        NO_ERA if update.era is None else update.era,
+        update.is_whole,
     )
 
 
--- a/ashpond/fleet/view.py
+++ b/ashpond/fleet/view.py
@@ -13,11 +13,11 @@
 
 # A hub that has been silent for longer is no longer relied on (seconds); it sends at
 # least every 0.6 s, and a busy machine may be late once.
-HUB_SILENCE_SECONDS = 1.3
+HUB_TIMEOUT_SECONDS = 1.3
 # A hub adds up what it has heard once for all that it tells within this (seconds): half
 # of a turn. With 12 members and 15 other hubs, each sum took 1.0 ms of a core, a
 # hundred times a second.
-SUM_SECONDS = 0.06
+SUM_CACHE_SECONDS = 0.06
 
 
 class Scope(StrEnum):
@@ -40,7 +40,7 @@
     attempts: dict[str, AttemptCounts]
 
 
-NO_WORK = InstanceLoad({}, {})
+EMPTY_LOAD = InstanceLoad({}, {})
 
 
 class PeerReport(NamedTuple):
@@ -51,7 +51,7 @@
 
     peer: str
     scope: Scope
-    heard_at: float
+    received_at: float
     work: InstanceLoad
 
 
@@ -65,8 +65,8 @@
         self.window = window
         self._sources: dict[str, PeerReport] = {}
         self._hubs: tuple[str, ...] = ()
-        self._group = _Total((Scope.MEMBER,), window)
-        self._fleet = _Total((Scope.MEMBER, Scope.GROUP, Scope.OWN), window)
+        self._group = _CachedSum((Scope.MEMBER,), window)
+        self._fleet = _CachedSum((Scope.MEMBER, Scope.GROUP, Scope.OWN), window)
 
     def set_hubs(self, names: Iterable[str]) -> None:
         """Take over who may be this instance's hub, the first choice first."""
@@ -79,9 +79,9 @@
     def expire(self, now: float) -> None:
         """Drop what no longer counts in any way."""
         self._sources = {
-            life: source
-            for life, source in self._sources.items()
-            if now - source.heard_at <= self.window
+            incarnation: source
+            for incarnation, source in self._sources.items()
+            if now - source.received_at <= self.window
         }
 
     def find_hub(self, now: float) -> str | None:
@@ -90,10 +90,10 @@
         None if it has none: in a flat fleet, or as the hub of its group.
         """
         for name in self._hubs:
-            for life, source in self._sources.items():
-                is_fresh = now - source.heard_at <= HUB_SILENCE_SECONDS
+            for incarnation, source in self._sources.items():
+                is_fresh = now - source.received_at <= HUB_TIMEOUT_SECONDS
                 if source.peer == name and source.scope is Scope.FLEET and is_fresh:
-                    return life
+                    return incarnation
         return None
 
     def list_counted(self, now: float) -> list[str]:
@@ -104,19 +104,23 @@
         hub = self.find_hub(now)
         if hub is not None:
             return [hub]
-        return [life for life, s in self._sources.items() if s.scope is not Scope.FLEET]
+        return [
+            incarnation
+            for incarnation, s in self._sources.items()
+            if s.scope is not Scope.FLEET
+        ]
 
     def sum_group(self, own: InstanceLoad, now: float) -> InstanceLoad:
         """Return the work of this hub's group, for the other hubs."""
-        return _add_work(self._group.sum_up(self._sources, now), own)
+        return _add_loads(self._group.sum_up(self._sources, now), own)
 
-    def sum_fleet(self, own: InstanceLoad, asker: str, now: float) -> InstanceLoad:
+    def sum_fleet(self, own: InstanceLoad, receiver: str, now: float) -> InstanceLoad:
         """Return the work of all others than ``asker``, a life of a member."""
         total = self._fleet.sum_up(self._sources, now)
-        return _add_work(total, own, self._fleet.find_part(asker))
+        return _add_loads(total, own, self._fleet.find_part(receiver))
 
 
-class _Total:
+class _CachedSum:
     """The sum of what sources of some scopes told, used again for a moment.
 
     :param window: for how long the sends that a source told count (seconds).
@@ -126,34 +130,34 @@
         self._scopes = scopes
         self._window = window
         self._summed_at = float("-inf")
-        self._total = NO_WORK
+        self._total = EMPTY_LOAD
         self._parts: dict[str, InstanceLoad] = {}
 
     def sum_up(self, sources: Mapping[str, PeerReport], now: float) -> InstanceLoad:
         """Return the sum as of a moment ago."""
-        if not 0 <= now - self._summed_at < SUM_SECONDS:
+        if not 0 <= now - self._summed_at < SUM_CACHE_SECONDS:
             self._summed_at = now
             self._parts = {
-                key: self._take_part(source, now)
+                key: self._drop_outdated(source, now)
                 for key, source in sources.items()
                 if source.scope in self._scopes
             }
-            self._total = _sum_works(self._parts.values())
+            self._total = _sum_loads(self._parts.values())
         return self._total
 
     def find_part(self, key: str) -> InstanceLoad:
         """Return what of the last sum is from one source."""
-        return self._parts.get(key, NO_WORK)
+        return self._parts.get(key, EMPTY_LOAD)
 
-    def _take_part(self, source: PeerReport, now: float) -> InstanceLoad:
-        age = now - source.heard_at
+    def _drop_outdated(self, source: PeerReport, now: float) -> InstanceLoad:
+        age = now - source.received_at
         return InstanceLoad(
             source.work.loads if age < PEER_LOAD_SECONDS else {},
             source.work.attempts if age <= self._window else {},
         )
 
 
-def _sum_works(works: Iterable[InstanceLoad]) -> InstanceLoad:
+def _sum_loads(works: Iterable[InstanceLoad]) -> InstanceLoad:
     # Plain lists: a new tuple for each of some thousand additions takes three times
     # as long, and a hub adds up the servers of sixteen groups eight times a second.
     loads: dict[str, list[int]] = {}
@@ -173,8 +177,8 @@
     return InstanceLoad({key: Load(*total) for key, total in loads.items()}, attempts)
 
 
-def _add_work(
-    total: InstanceLoad, more: InstanceLoad, less: InstanceLoad = NO_WORK
+def _add_loads(
+    total: InstanceLoad, more: InstanceLoad, less: InstanceLoad = EMPTY_LOAD
 ) -> InstanceLoad:
     """Return a sum with a part added and another, which it contains, taken out."""
     loads = dict(total.loads)
--- a/ashpond/gateway/application.py
+++ b/ashpond/gateway/application.py
@@ -220,7 +220,7 @@
             self.slot_queue.assign,
             self.retry_budgets.measure_left,
             settings.bounds.lease_ms / MS,
-            lambda: self.peers.measure_lag(),
+            lambda: self.peers.get_max_lag(),
             self.invalid_rows,
             self._has_service,
         )
--- a/ashpond/gateway/rollouts.py
+++ b/ashpond/gateway/rollouts.py
@@ -267,7 +267,9 @@
     def _send_notice(self, update: _Update, version: int, seconds: float) -> None:
         info = update.state.info
         self._announce(
-            ServerNotice(info.id, update.model, version, seconds, born=info.started_ms)
+            ServerNotice(
+                info.id, update.model, version, seconds, started_ms=info.started_ms
+            )
         )
 
     def _keep_excluded(self, update: _Update) -> None:
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -28,7 +28,7 @@
 WINDOW_SECONDS = 10.0
 
 
-def make_news(**changes: object) -> News:
+def make_update(**changes: object) -> News:
     """Return the message of a digest that tells a little of everything."""
     values: dict = {
         "sender": "i1#1",
@@ -113,7 +113,7 @@
         return {link.name for link in self.peers.list_links() if link.role is role}
 
     async def run(self) -> None:
-        feed = Feed(MEMBERS_TABLE, 5.0, 0.0, 5.0, self.members.take_rows, lambda: None)
+        feed = Feed(MEMBERS_TABLE, 5.0, 0.0, 5.0, self.members.apply_rows, lambda: None)
         follower = Follower(
             feed, self.port, StoreClock(), self.log, lambda: True, lambda news: None
         )
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -31,16 +31,16 @@
 from ashpond.decisions.declared import CacheStore
 from ashpond.errors import FrameError
 from ashpond.fleet.updates import (
-    MAX_CLOSED_SECONDS,
+    MAX_EXCLUDED_SECONDS,
     decode_changes,
-    decode_news,
     decode_notices,
+    decode_update,
 )
 from ashpond.gateway.store import Row
 from ashpond_platform.engines import decode_cache_events, decode_report
 from ashpond_platform.store import decode_body
 from tests.damage import damage, values
-from tests.peer_fleet import make_news
+from tests.peer_fleet import make_update
 
 REPORT = {"models": [{"name": "m", "version": 1}], "busy": False, "seq": 2, "born": 5}
 EVENTS = {
@@ -76,10 +76,10 @@
     """Take a message as the newsroom does; check that what it holds is whole."""
     message: PeerMessage = parse_message(value)
     if isinstance(message, News):
-        digest = decode_news(message)
-        for load in digest.work.loads.values():
+        digest = decode_update(message)
+        for load in digest.load.loads.values():
             assert all(abs(number) <= MAX_NUMBER for number in load)
-        for counts in digest.work.sends.values():
+        for counts in digest.load.attempts.values():
             assert all(abs(number) <= MAX_NUMBER for number in counts)
         notices = digest.notices
     elif isinstance(message, Notices):
@@ -93,7 +93,7 @@
     else:
         return
     for notice in notices:
-        assert 0 <= notice.closed_seconds <= MAX_CLOSED_SECONDS
+        assert 0 <= notice.excluded_seconds <= MAX_EXCLUDED_SECONDS
 
 
 def take_message(value: Any) -> None:
@@ -154,7 +154,7 @@
 
 @given(st.sampled_from(["loads", "notices", "holdings", "sends"]), values)
 def test_news_with_one_odd_field_raise_one_error_only(field: str, value: Any) -> None:
-    take_message(["news", list(make_news(**{field: value}))])
+    take_message(["news", list(make_update(**{field: value}))])
 
 
 @pytest.mark.parametrize(
@@ -186,9 +186,9 @@
 )
 def test_news_that_are_not_whole_are_refused(changes: dict[str, Any]) -> None:
     """A sum of two such loads fits no message: the sender's task ended, and so it."""
-    message = unpack_value(msgpack.packb(["news", list(make_news(**changes))]))
+    message = unpack_value(msgpack.packb(["news", list(make_update(**changes))]))
     with pytest.raises(FrameError):
-        decode_news(parse_message(message))  # type: ignore[arg-type]
+        decode_update(parse_message(message))  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -25,7 +25,7 @@
 from ashpond.decisions.leases import Lease, make_lease_terms
 from ashpond.fleet.members import (
     MEMBERS_TABLE,
-    RETURN_SECONDS as MEMBERS_SECONDS,
+    RESTORE_SECONDS as MEMBERS_SECONDS,
     Members,
 )
 from ashpond.gateway.decisionlog import DecisionLog
@@ -357,7 +357,7 @@
     store, members = followed.store, followed.members
     store.put(MEMBERS_TABLE, "left", make_member("left"))
     followed.start(nursery)
-    nursery.start_soon(members.keep_rows)
+    nursery.start_soon(members.restore_rows)
     await trio.sleep(0.5)
     copy = store.take_copy()
     await members.register()
@@ -384,7 +384,7 @@
     followed = FollowedView()
     store, members = followed.store, followed.members
     followed.start(nursery)
-    nursery.start_soon(members.keep_rows)
+    nursery.start_soon(members.restore_rows)
     await members.register()
     await trio.sleep(0.5)
     copy = store.take_copy()
@@ -406,7 +406,7 @@
     copy = store.take_copy()
     await members.agree_secret()
     secret = members.secret
-    nursery.start_soon(members.keep_rows)
+    nursery.start_soon(members.restore_rows)
     store.return_from(copy)
     await port.read("any")
     await trio.sleep(1.0)
@@ -425,7 +425,7 @@
     members = Members(
         Member("i", "127.0.0.1:1", "d"), port, DecisionLog("i"), lambda: None
     )
-    nursery.start_soon(members.keep_rows)
+    nursery.start_soon(members.restore_rows)
     await port.read("any")
     store.return_from(store.take_copy())
     await port.read("any")
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -114,9 +114,9 @@
 
 def test_news_that_make_no_sense_are_left_out(instances: list[Instance]) -> None:
     instance = instances[0]
-    instance.peers._take(News("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
-    instance.peers._take(News("i1#1", "own", "", {}, [["too", "few"]], [], {}))
-    instance.peers._take(News("i1#1", "nobody's", "", {}, [], [], {}))
+    instance.peers._apply(News("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
+    instance.peers._apply(News("i1#1", "own", "", {}, [["too", "few"]], [], {}))
+    instance.peers._apply(News("i1#1", "nobody's", "", {}, [], [], {}))
     events = [line["event"] for line in instance.log._lines]
     assert events == ["peer_news_invalid"] * 3
     assert instance.notices == []
@@ -126,7 +126,7 @@
     instance = instances[0]
     for rows in ([["key", b"value"]], ["key"], [["key", b"value", "x"]]):
         changes = TableChanges("i1#1", "group", "op", 1, 2, 0.5, rows, 1, False)
-        instance.peers._take(changes)
+        instance.peers._apply(changes)
     events = [line["event"] for line in instance.log._lines]
     assert events == ["peer_news_invalid"] * 3
     assert instance.tables == []
@@ -194,7 +194,7 @@
     link.add([notice], [cache_entry])
     stream: Any = FailingStream(error)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instances[0].peers._converse, link, stream)
+        nursery.start_soon(instances[0].peers._use_connection, link, stream)
         await stream.is_sending.wait()
         link.add([newer])
     assert link.take() == ([notice, newer], [cache_entry])
@@ -207,7 +207,7 @@
     link = Link(PeerRole.EQUAL, "i1")
     link.add([ServerNotice("a", "m1", 2, 0.0)])
     stream: Any = FailingStream(FrameError("too large"))
-    await instances[0].peers._converse(link, stream)
+    await instances[0].peers._use_connection(link, stream)
     assert link.take() == ([], [])
 
 
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -14,7 +14,11 @@
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import READER_GROUPS, Member
 from ashpond.decisions.loads import Load
-from ashpond.fleet.intervals import GROUP_NEWS_SECONDS, HEARTBEAT_SECONDS, NEWS_SECONDS
+from ashpond.fleet.intervals import (
+    GROUP_UPDATE_SECONDS,
+    HEARTBEAT_SECONDS,
+    UPDATE_SECONDS,
+)
 from ashpond.fleet.links import Link, PeerRole
 from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.store import Row
@@ -124,7 +128,7 @@
         await wait_for(
             lambda: all(i.sum_load().requests == 7 for i in grouped if i is not member)
         )
-        await trio.sleep(3 * GROUP_NEWS_SECONDS)
+        await trio.sleep(3 * GROUP_UPDATE_SECONDS)
         assert member.sum_load().requests == 7
 
 
@@ -170,20 +174,20 @@
         standby = next(
             link
             for link in member.peers.list_links()
-            if not member.peers._needs_all(link)
+            if not member.peers._needs_updates(link)
         )
         sends = 0
-        build = member.peers._build_work
+        build = member.peers._build_load
 
         def count(link: Any, now: float) -> Any:
             nonlocal sends
             sends += 1
             return build(link, now)
 
-        member.peers._build_work = count  # type: ignore[method-assign]
+        member.peers._build_load = count  # type: ignore[method-assign]
         member.peers.announce(ServerNotice("a", "m1", 2, 0.5))
         standby.notices.append(ServerNotice("a", "m1", 3, 0.5))
-        await trio.sleep(2 * GROUP_NEWS_SECONDS)
+        await trio.sleep(2 * GROUP_UPDATE_SECONDS)
         assert sends < 30
 
 
@@ -197,10 +201,10 @@
         links = {link.name: link for link in hub.peers.list_links()}
         first, second = (links[member.name] for member in pairs[0])
         await wait_for(lambda: first.is_connected and second.is_connected)
-        assert hub.peers._needs_all(first)
-        assert not hub.peers._needs_all(second)
+        assert hub.peers._needs_updates(first)
+        assert not hub.peers._needs_updates(second)
         first.is_connected = False
-        assert hub.peers._needs_all(second)
+        assert hub.peers._needs_updates(second)
 
 
 async def test_an_instance_whose_row_is_not_there_yet_links_as_a_member() -> None:
@@ -242,8 +246,8 @@
             sent.append(message)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instance.peers._take_turns)
-        nursery.start_soon(instance.peers._send_news, link, Stream())
+        nursery.start_soon(instance.peers._schedule_updates)
+        nursery.start_soon(instance.peers._send_updates, link, Stream())
         await trio.sleep(0.05)
         for number in range(100):
             instance.table.by_id["a"].load = Load(number + 1)
@@ -252,7 +256,7 @@
         nursery.cancel_scope.cancel()
     digests = [message for message in sent if isinstance(message, News)]
     urgent = [message for message in sent if isinstance(message, Notices)]
-    assert len(digests) <= 1.05 / NEWS_SECONDS + 1
+    assert len(digests) <= 1.05 / UPDATE_SECONDS + 1
     assert len(urgent) >= 80
     told = [n for message in sent for n in message.notices]  # type: ignore[attr-defined]
     assert sorted(notice[2] for notice in told) == list(range(1, 101))
@@ -262,7 +266,7 @@
     async with running(grouped):
         hub = next(i for i in grouped if i.peers.is_hub)
         member = next(i for i in grouped if not i.peers.is_hub)
-        notice = ServerNotice("a", "m1", 7, 0.5, born=1000)
+        notice = ServerNotice("a", "m1", 7, 0.5, started_ms=1000)
         member.peers.announce(notice)
         others = [i for i in grouped if i is not member]
         await wait_for(lambda: all(notice in i.notices for i in others))
@@ -284,8 +288,8 @@
             woken += 1
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instance.peers._take_turns)
-        nursery.start_soon(instance.peers._send_news, link, Stream())
+        nursery.start_soon(instance.peers._schedule_updates)
+        nursery.start_soon(instance.peers._send_updates, link, Stream())
         await trio.sleep(6.05)
         assert woken == pytest.approx(6.0 / HEARTBEAT_SECONDS, abs=2)
         woken = 0
@@ -293,7 +297,7 @@
         await trio.sleep(0.001)
         assert woken == 1
         instance.table.by_id["a"].load = Load(3)
-        await trio.sleep(NEWS_SECONDS * 1.1)
+        await trio.sleep(UPDATE_SECONDS * 1.1)
         assert woken == 2
         nursery.cancel_scope.cancel()
 
@@ -306,13 +310,13 @@
     first, standby = Member("h1", "127.0.0.1:9", "e"), Member("h2", "127.0.0.1:9", "e")
     instance.peers.links = instance.peers.links._replace(other_hubs=((first, standby),))
     built: list[str] = []
-    build = instance.peers._build_work
+    build = instance.peers._build_load
 
     def count(link: Link, now: float) -> object:
         built.append(link.name)
         return build(link, now)
 
-    instance.peers._build_work = count  # type: ignore[method-assign,assignment]
+    instance.peers._build_load = count  # type: ignore[method-assign,assignment]
     for member in (first, standby):
         link = Link(PeerRole.OTHER_HUB, member.name)
         link.is_connected = True
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -53,7 +53,7 @@
         for _ in range(40):
             assert not state.is_usable(trio.current_time())
             await trio.sleep(0.1)
-        exclusions = [notice for notice in notices if notice.closed_seconds]
+        exclusions = [notice for notice in notices if notice.excluded_seconds]
         assert len(exclusions) >= 2
         nursery.cancel_scope.cancel()
 
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -26,7 +26,7 @@
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
 from ashpond.decisions.selection import Demand
-from ashpond.fleet.updates import ServerNotice, decode_news, encode_news
+from ashpond.fleet.updates import ServerNotice, decode_update, encode_update
 from ashpond.gateway.application import Gateway
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.settings import SettingsFile
@@ -43,7 +43,7 @@
     make_table,
 )
 from tests.mutants import Mutant, expect_caught
-from tests.peer_fleet import make_news
+from tests.peer_fleet import make_update
 from tests.row_builders import SERVER, make_row
 
 SALT = "salt"
@@ -138,7 +138,7 @@
 
 async def test_a_new_start_seen_first_by_a_peer() -> None:
     gateway = make_used_gateway()
-    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 2, 0.0, born=2000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 2, 0.0, started_ms=2000))
     assert assert_reset(gateway).weights == {MODEL: 2}
 
 
@@ -156,7 +156,7 @@
     gateway = make_used_gateway()
     gateway.table.update(make_server("a", started_ms=2000), 0.0)
     state = gateway.table.by_id["a"]
-    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 9, 5.0, born=1000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 9, 5.0, started_ms=1000))
     gateway.server_updates.on_cache_entry(
         CacheEntry("a", SALT, PROMPT.parts[0].id, 1000)
     )
@@ -168,7 +168,7 @@
 
 async def test_two_starts_within_a_heartbeat_reported_out_of_order() -> None:
     gateway = make_used_gateway()
-    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=3000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 1, 0.0, started_ms=3000))
     state = gateway.table.by_id["a"]
     gateway.table.update(make_server("a", started_ms=2000, is_draining=True), 0.0)
     assert gateway.table.by_id["a"] is state
@@ -180,7 +180,7 @@
     gateway = make_used_gateway()
     state = gateway.table.by_id["a"]
     gateway.table.update(make_server("a", started_ms=1000), 0.0)
-    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 3, 0.0, born=1000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 3, 0.0, started_ms=1000))
     gateway.server_updates.on_notice(ServerNotice("a", MODEL, 3, 0.0))
     assert gateway.table.by_id["a"] is state
     assert state.load == Load(5, 100, 100)
@@ -191,7 +191,7 @@
     gateway = make_gateway()
     gateway.table.update(make_server("a"), 0.0)
     state = gateway.table.by_id["a"]
-    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 1, 0.0, born=1000))
+    gateway.server_updates.on_notice(ServerNotice("a", MODEL, 1, 0.0, started_ms=1000))
     assert gateway.table.by_id["a"] is state
     assert state.info.started_ms == 1000
     gateway.table.update(make_server("a"), 0.0)
@@ -226,10 +226,10 @@
 async def test_updates_contain_the_start() -> None:
     notices = [["a", "m1", 2, 0.5, False, 1234, None, False]]
     holdings = [["a", "salt", "part", 1234]]
-    digest = decode_news(make_news(notices=notices, holdings=holdings))
-    assert digest.notices[0].born == 1234
-    assert digest.holdings[0].started_ms == 1234
-    assert encode_news("i1#1", digest).notices == notices
+    digest = decode_update(make_update(notices=notices, holdings=holdings))
+    assert digest.notices[0].started_ms == 1234
+    assert digest.cache_entries[0].started_ms == 1234
+    assert encode_update("i1#1", digest).notices == notices
 
 
 async def test_order_is_repeated_to_an_engine_that_restarted(
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -7,8 +7,8 @@
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.loads import PEER_LOAD_SECONDS, Load
 from ashpond.fleet.view import (
-    HUB_SILENCE_SECONDS,
-    SUM_SECONDS,
+    HUB_TIMEOUT_SECONDS,
+    SUM_CACHE_SECONDS,
     FleetView,
     InstanceLoad,
     PeerReport,
@@ -22,9 +22,11 @@
     return InstanceLoad({"a": Load(requests)}, {"reader": AttemptCounts(requests, 1)})
 
 
-def tell(view: FleetView, life: str, scope: Scope, requests: int, at: float) -> None:
-    peer = life.partition("#")[0]
-    view.note(life, PeerReport(peer, scope, at, make_work(requests)))
+def tell(
+    view: FleetView, incarnation: str, scope: Scope, requests: int, at: float
+) -> None:
+    peer = incarnation.partition("#")[0]
+    view.note(incarnation, PeerReport(peer, scope, at, make_work(requests)))
 
 
 def make_hub_view() -> FleetView:
@@ -61,7 +63,7 @@
     assert view.list_counted(0.1) == ["h2#1"]
     tell(view, "h1#1", Scope.FLEET, 9, 0.0)
     assert view.list_counted(0.1) == ["h1#1"]
-    silent = HUB_SILENCE_SECONDS + 0.1
+    silent = HUB_TIMEOUT_SECONDS + 0.1
     tell(view, "h2#1", Scope.FLEET, 9, silent)
     assert view.list_counted(silent) == ["h2#1"]
 
@@ -90,11 +92,11 @@
     view = make_hub_view()
     assert view.sum_fleet(make_work(8), "m1#1", 0.1).loads["a"].requests == 14
     # What it has told since is not in the sum, and must not be taken out of it.
-    tell(view, "m1#1", Scope.MEMBER, 100, 0.1 + SUM_SECONDS / 3)
-    soon = 0.1 + SUM_SECONDS / 2
+    tell(view, "m1#1", Scope.MEMBER, 100, 0.1 + SUM_CACHE_SECONDS / 3)
+    soon = 0.1 + SUM_CACHE_SECONDS / 2
     assert view.sum_fleet(make_work(8), "m1#1", soon).loads["a"].requests == 14
     assert view.sum_fleet(make_work(8), "m2#1", soon).loads["a"].requests == 13
-    later = 0.1 + SUM_SECONDS
+    later = 0.1 + SUM_CACHE_SECONDS
     assert view.sum_fleet(make_work(8), "m2#1", later).loads["a"].requests == 112
 
 
@@ -113,9 +115,9 @@
     view = FleetView(WINDOW)
     for number, work in enumerate(told):
         view.note(f"m{number}", PeerReport(f"m{number}", Scope.MEMBER, 0.0, work))
-    for asker in range(len(told)):
-        others = [own, *(w for n, w in enumerate(told) if n != asker)]
-        found = view.sum_fleet(own, f"m{asker}", 0.1)
+    for receiver in range(len(told)):
+        others = [own, *(w for n, w in enumerate(told) if n != receiver)]
+        found = view.sum_fleet(own, f"m{receiver}", 0.1)
         for name in "abc":
             requests = sum(w.loads.get(name, Load()).requests for w in others)
             assert found.loads.get(name, Load()).requests == requests
