--- a/ashpond/cli.py
+++ b/ashpond/cli.py
@@ -197,10 +197,10 @@
     from ashpond.gateway.explanations import explain_request, read_lines
 
     text = itertools.chain.from_iterable(logs or (sys.stdin,))
-    story = explain_request(read_lines(text), request_id)
-    if not story:
+    history = explain_request(read_lines(text), request_id)
+    if not history:
         fail(f"no line tells of a request {request_id}", FAILED)
-    for line in story:
+    for line in history:
         click.echo(line)
 
 
--- a/ashpond/lossreport.py
+++ b/ashpond/lossreport.py
@@ -15,8 +15,8 @@
 # Losses are counted by spans of the logs' time (seconds).
 SPAN_SECONDS = 2.0
 # A wait before the last send is the cause from this share of the objective on.
-WAIT_SHARE = 0.3
-NAMED_IDS = 3
+MIN_WAIT_SHARE = 0.3
+MAX_SHOWN_IDS = 3
 UNKNOWN_KEY = 401
 UNKNOWN_ROUTE = 404
 
@@ -28,15 +28,15 @@
     pauses within an answer, only what it passes on.
     """
 
-    WAITED_HERE = "waited for a place"
-    SENT_AGAIN = "sent more than once"
+    WAITED_FOR_SLOT = "waited for a place"
+    RETRIED = "sent more than once"
     QUEUED = "behind other prompts in the engine"
     READ_SHARED = "shared parts were read"
     READ_OWN = "its own part was read"
     BUSY = "refused: no place"
-    UNINFORMED = "refused: knowledge too old"
+    STALE_KNOWLEDGE = "refused: knowledge too old"
     FAILED = "failed at the backend server"
-    UNFINISHED = "no end is recorded"
+    NO_END_RECORDED = "no end is recorded"
 
 
 class Loss(NamedTuple):
@@ -49,7 +49,7 @@
     is_late: bool
 
 
-class _Story(NamedTuple):
+class _RequestHistory(NamedTuple):
     """The lines of one request, in order."""
 
     sent: list[Line]
@@ -68,52 +68,58 @@
             by_id[line["id"]].append(line)
     losses = []
     totals: Counter[str] = Counter()
-    for request_id, own in by_id.items():
-        own.sort(key=lambda line: line["t"])
-        story = _read_story(own)
-        if story.end and story.end.get("status") in (UNKNOWN_KEY, UNKNOWN_ROUTE):
+    for request_id, request_lines in by_id.items():
+        request_lines.sort(key=lambda line: line["t"])
+        history = _read_history(request_lines)
+        if history.end and history.end.get("status") in (UNKNOWN_KEY, UNKNOWN_ROUTE):
             continue
-        route = own[0].get("route", "")
+        route = request_lines[0].get("route", "")
         totals[route] += 1
-        cause = _find_cause(story)
+        cause = _find_cause(history)
         if cause is not None:
-            is_late = bool(story.end and story.end["event"] == "ended")
-            losses.append(Loss(request_id, route, own[0]["t"], cause, is_late))
+            is_late = bool(history.end and history.end["event"] == "ended")
+            losses.append(
+                Loss(request_id, route, request_lines[0]["t"], cause, is_late)
+            )
     return losses, totals
 
 
-def _read_story(own: list[Line]) -> _Story:
-    sent = [line for line in own if line["event"] == "sent"]
-    ends = [line for line in own if line["event"] in ("ended", "refused", "broken_off")]
-    return _Story(sent, ends[-1] if ends else None, own[0])
+def _read_history(request_lines: list[Line]) -> _RequestHistory:
+    sent = [line for line in request_lines if line["event"] == "sent"]
+    ends = [
+        line
+        for line in request_lines
+        if line["event"] in ("ended", "refused", "broken_off")
+    ]
+    return _RequestHistory(sent, ends[-1] if ends else None, request_lines[0])
 
 
-def _find_cause(story: _Story) -> Cause | None:
+def _find_cause(history: _RequestHistory) -> Cause | None:
     """Return why a request was late or not served, None if it was in time."""
-    end = story.end
+    end = history.end
     if end is None:
-        return Cause.UNFINISHED
+        return Cause.NO_END_RECORDED
     if end["event"] != "ended":
-        return _find_refusal_cause(story)
+        return _find_refusal_cause(history)
     if end["status"] >= 500:
         return Cause.FAILED
-    if not story.sent or "objective" not in story.sent[-1]:
+    if not history.sent or "objective" not in history.sent[-1]:
         return None
-    last = story.sent[-1]
+    last = history.sent[-1]
     if end.get("first_after", end["after"]) <= last["objective"]:
         return None
-    if len(story.sent) > 1:
-        return Cause.SENT_AGAIN
-    if last["after"] > WAIT_SHARE * last["objective"]:
-        return Cause.WAITED_HERE
+    if len(history.sent) > 1:
+        return Cause.RETRIED
+    if last["after"] > MIN_WAIT_SHARE * last["objective"]:
+        return Cause.WAITED_FOR_SLOT
     return _find_reading_cause(last)
 
 
-def _find_refusal_cause(story: _Story) -> Cause:
-    assert story.end is not None
-    if story.sent:
+def _find_refusal_cause(history: _RequestHistory) -> Cause:
+    assert history.end is not None
+    if history.sent:
         return Cause.FAILED
-    return Cause.UNINFORMED if "knowledge_age" in story.end else Cause.BUSY
+    return Cause.STALE_KNOWLEDGE if "knowledge_age" in history.end else Cause.BUSY
 
 
 def _find_reading_cause(sent: Line) -> Cause:
@@ -123,12 +129,12 @@
     chosen = next((c for c in candidates if c.id == sent["server"]), None)
     if demand.prompt is None or chosen is None:
         return Cause.QUEUED
-    own = demand.prompt.parts[-1].tokens if demand.prompt.parts else 0
-    found = max(sent["held"], sent["fetch"])
+    own_tokens = demand.prompt.parts[-1].tokens if demand.prompt.parts else 0
+    available_tokens = max(sent["held"], sent["fetch"])
     parts = {
         Cause.QUEUED: chosen.load.unread_tokens,
-        Cause.READ_SHARED: max(0, demand.prompt.tokens - own - found),
-        Cause.READ_OWN: own,
+        Cause.READ_SHARED: max(0, demand.prompt.tokens - own_tokens - available_tokens),
+        Cause.READ_OWN: own_tokens,
     }
     return max(parts, key=lambda cause: parts[cause])
 
@@ -145,7 +151,7 @@
     lines.append("")
     lines.append(f"{'cause':36} {'requests':>9}  some ids, for `ashpond explain`")
     for cause, count in Counter(loss.cause for loss in losses).most_common():
-        ids = [loss.id for loss in losses if loss.cause is cause][:NAMED_IDS]
+        ids = [loss.id for loss in losses if loss.cause is cause][:MAX_SHOWN_IDS]
         lines.append(f"{cause:36} {count:9d}  {' '.join(ids)}")
     return "\n".join([*lines, "", *_render_spans(losses)])
 
@@ -159,6 +165,6 @@
         spans[int((loss.at - start) // SPAN_SECONDS)][loss.cause] += 1
     lines = [f"from second (0 is the first loss)  requests, by cause; {SPAN_SECONDS} s"]
     for span, causes in sorted(spans.items()):
-        told = ", ".join(f"{count} {cause}" for cause, count in causes.most_common())
-        lines.append(f"{span * SPAN_SECONDS:8.0f} {sum(causes.values()):5d}  {told}")
+        counts = ", ".join(f"{count} {cause}" for cause, count in causes.most_common())
+        lines.append(f"{span * SPAN_SECONDS:8.0f} {sum(causes.values()):5d}  {counts}")
     return lines
--- a/tests/test_lossreport.py
+++ b/tests/test_lossreport.py
@@ -52,17 +52,17 @@
     assert find_cause(make_sent(unread=5000), late) is Cause.QUEUED
     assert find_cause(make_sent(held=0), late) is Cause.READ_SHARED
     assert find_cause(make_sent(), late) is Cause.READ_OWN
-    assert find_cause(make_sent(after=0.3), late) is Cause.WAITED_HERE
-    assert find_cause(make_sent(), make_sent(t=1.2), late) is Cause.SENT_AGAIN
+    assert find_cause(make_sent(after=0.3), late) is Cause.WAITED_FOR_SLOT
+    assert find_cause(make_sent(), make_sent(t=1.2), late) is Cause.RETRIED
 
 
 def test_what_was_not_served_has_a_cause() -> None:
     refused = make_end("refused", status=503)
     assert find_cause(refused) is Cause.BUSY
-    assert find_cause(refused | {"knowledge_age": 4.0}) is Cause.UNINFORMED
+    assert find_cause(refused | {"knowledge_age": 4.0}) is Cause.STALE_KNOWLEDGE
     assert find_cause(make_sent(), refused | {"status": 502}) is Cause.FAILED
     assert find_cause(make_sent(), make_end(status=500)) is Cause.FAILED
-    assert find_cause(make_sent()) is Cause.UNFINISHED
+    assert find_cause(make_sent()) is Cause.NO_END_RECORDED
 
 
 def test_what_no_configuration_allows_is_left_out() -> None:
