--- a/ashpond/loopdelay.py
+++ b/ashpond/loopdelay.py
@@ -13,7 +13,7 @@
 
 # A step of the event loop takes a few ms. A stall of this length (seconds) shows
 # in what clients see: a fifth of the tightest objective in use, 125 ms.
-NOTED_SECONDS = 0.025
+MIN_STALL_SECONDS = 0.025
 
 
 class LoopDelay(NamedTuple):
@@ -58,16 +58,16 @@
         now = self._clock()
         self._wait_ends_at = now + timeout
         if self._step_began_at is not None:
-            self._take(now, now - self._step_began_at)
+            self._record_stall(now, now - self._step_began_at)
 
     def after_io_wait(self, timeout: float) -> None:
         """Take the end of a wait, which is the begin of a step."""
         now = self._clock()
         self._step_began_at = now
         if self._wait_ends_at is not None:
-            self._take(now, now - self._wait_ends_at)
+            self._record_stall(now, now - self._wait_ends_at)
 
-    def _take(self, now: float, seconds: float) -> None:
-        if seconds >= NOTED_SECONDS:
+    def _record_stall(self, now: float, seconds: float) -> None:
+        if seconds >= MIN_STALL_SECONDS:
             self.last = LoopDelay(now, seconds)
             self._note(self.last)
--- a/ashpond/runtimeclock.py
+++ b/ashpond/runtimeclock.py
@@ -14,10 +14,10 @@
     from ashpond.gateway.decisionlog import DecisionLog
 
 # A difference of the two clocks below this is how they are read (seconds).
-NOTED_SECONDS = 0.05
+MIN_SUSPENSION_SECONDS = 0.05
 # How often it is looked at. On waking, timers that have run out meanwhile run first;
 # an event loop that waits for one looks again within this (seconds).
-LOOK_SECONDS = 0.25
+CHECK_SECONDS = 0.25
 
 
 class SuspendedClock(trio.abc.Clock):
@@ -40,7 +40,7 @@
         The kernel counts its waits by the steady clock, so that one that has begun
         before a suspension would end that much too late.
         """
-        return min(LOOK_SECONDS, max(0.0, deadline - self.current_time()))
+        return min(CHECK_SECONDS, max(0.0, deadline - self.current_time()))
 
 
 def choose_clock(note: Callable[..., None]) -> trio.abc.Clock | None:
@@ -78,9 +78,9 @@
         """Look until cancelled."""
         known = self._measure()
         while True:
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(CHECK_SECONDS)
             suspended = self._measure()
-            if suspended - known >= NOTED_SECONDS:
+            if suspended - known >= MIN_SUSPENSION_SECONDS:
                 seconds = round(suspended - known, 3)
                 self._log.note("machine_suspended", seconds=seconds)
                 self._observe(seconds)
--- a/tests/test_loopdelay.py
+++ b/tests/test_loopdelay.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ashpond.loopdelay import NOTED_SECONDS, LoopDelay, LoopWatch
+from ashpond.loopdelay import MIN_STALL_SECONDS, LoopDelay, LoopWatch
 
 
 def make_watch() -> tuple[LoopWatch, list[LoopDelay], list[float]]:
@@ -26,9 +26,9 @@
 def test_a_wait_that_ends_too_late_is_noted():
     watch, delays, times = make_watch()
     watch.before_io_wait(0.1)
-    times[0] += 0.1 + 2 * NOTED_SECONDS
+    times[0] += 0.1 + 2 * MIN_STALL_SECONDS
     watch.after_io_wait(0.1)
-    assert [round(delay.seconds, 3) for delay in delays] == [2 * NOTED_SECONDS]
+    assert [round(delay.seconds, 3) for delay in delays] == [2 * MIN_STALL_SECONDS]
 
 
 def test_short_steps_and_waits_in_time_are_not_noted():
@@ -37,7 +37,7 @@
         watch.before_io_wait(1.0)
         times[0] += 1.0
         watch.after_io_wait(1.0)
-        times[0] += NOTED_SECONDS / 2
+        times[0] += MIN_STALL_SECONDS / 2
     watch.before_io_wait(1.0)
     assert delays == []
     assert watch.describe() is None
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -26,7 +26,7 @@
 from ashpond.gateway.store import StoreClock
 from ashpond.outcomes import Done
 from ashpond.runtimeclock import (
-    LOOK_SECONDS,
+    CHECK_SECONDS,
     SuspendedClock,
     SuspensionWatch,
     choose_clock,
@@ -53,7 +53,7 @@
     set_clocks(monkeypatch, 101.0, SUSPENDED_SECONDS)
     assert clock.current_time() - before == SUSPENDED_SECONDS + 1.0
     # A wait that began before would go on by the steady clock.
-    assert clock.deadline_to_sleep_time(before + 60.0) == LOOK_SECONDS
+    assert clock.deadline_to_sleep_time(before + 60.0) == CHECK_SECONDS
     assert clock.deadline_to_sleep_time(before) == 0.0
 
 
@@ -61,14 +61,14 @@
     async def measure() -> float:
         begun_at = time.clock_gettime(time.CLOCK_BOOTTIME)
         assert abs(trio.current_time() - begun_at) < 1.0
-        with trio.move_on_after(LOOK_SECONDS * 1.5) as scope:
+        with trio.move_on_after(CHECK_SECONDS * 1.5) as scope:
             await trio.sleep_forever()
         assert scope.cancelled_caught
         return time.clock_gettime(time.CLOCK_BOOTTIME) - begun_at
 
     clock = choose_clock(lambda event, **fields: None)
     assert clock is not None
-    assert trio.run(measure, clock=clock) >= LOOK_SECONDS * 1.5
+    assert trio.run(measure, clock=clock) >= CHECK_SECONDS * 1.5
 
 
 def test_where_there_is_no_such_clock_it_is_said(
@@ -99,7 +99,7 @@
 
 
 def test_a_machine_that_runs_was_suspended_for_no_negative_time() -> None:
-    assert runtimeclock.measure_suspended() > -runtimeclock.NOTED_SECONDS
+    assert runtimeclock.measure_suspended() > -runtimeclock.MIN_SUSPENSION_SECONDS
 
 
 def test_no_order_is_sent_under_a_lease_of_before(
