--- a/ashpond/outcomes.py
+++ b/ashpond/outcomes.py
@@ -84,7 +84,7 @@
     """
 
     reason: str
-    unreached: bool = False
+    is_unreached: bool = False
     backoff: float | None = None
 
 
