--- a/ashpond/application.py
+++ b/ashpond/application.py
@@ -54,8 +54,8 @@
 logger = Logger("ashpond.application")
 
 GENERATION_PART = "generation"
-VIEW_BLOCKS = 20_000
-START_POLL_SECONDS = 0.05
+MAX_VIEW_BLOCKS = 20_000
+PEER_POLL_SECONDS = 0.05
 
 
 class Application:
@@ -76,7 +76,9 @@
         self.engines = EnginesController(
             settings, self.configuration, self.members, self.metrics
         )
-        self.ends = CallQuarantine(settings, self.engines, self.members, self.metrics)
+        self.call_quarantine = CallQuarantine(
+            settings, self.engines, self.members, self.metrics
+        )
         self.admission = AdmissionController(
             self.configuration,
             self.members,
@@ -109,11 +111,11 @@
             self.metrics,
         )
         self._draining = trio.Event()
-        self._heard, self._hear = trio.open_memory_channel[Fact](64)
+        self._fact_sender, self._fact_receiver = trio.open_memory_channel[Fact](64)
         self.members.add_fact_part(
             GENERATION_PART, lambda: self.configuration.generation
         )
-        self.members.on_fact(self._notice_generation)
+        self.members.on_fact(self._queue_newer_generation)
 
     async def run(self) -> None:
         """Serve until SIGINT or SIGTERM, then end every call in flight."""
@@ -133,7 +135,7 @@
             self.configuration.run,
             self.members.run,
             self.engines.run,
-            self.ends.run,
+            self.call_quarantine.run,
             self.admission.run,
             self.limits.run,
             self.claims.run,
@@ -144,9 +146,11 @@
     async def _serve(self) -> None:
         callers, admin = self._build_apps()
         settings = self.settings
-        admin_end = trio.Event()
+        admin_stop = trio.Event()
         async with trio.open_nursery() as nursery:
-            await nursery.start(run_app_until, admin, settings.admin_address, admin_end)
+            await nursery.start(
+                run_app_until, admin, settings.admin_address, admin_stop
+            )
             nursery.start_soon(self._watch_signals)
             await run_app(
                 callers,
@@ -154,7 +158,7 @@
                 self._wait_for_drain,
                 graceful_seconds=settings.timing.drain_limit,
             )
-            admin_end.set()
+            admin_stop.set()
             nursery.cancel_scope.cancel()
 
     def _build_apps(self) -> tuple[Any, Any]:
@@ -170,14 +174,14 @@
             self.metrics,
             rng,
             client,
-            self.ends,
+            self.call_quarantine,
         )
         chain = build_chain(
             [
                 make_accounting(self.configuration, self.burn, self.metrics),
                 make_authentication(self.configuration),
                 make_parsing(self.configuration),
-                make_quarantine(self.ends, self.metrics),
+                make_quarantine(self.call_quarantine, self.metrics),
                 make_limits(self.limits, self.metrics),
                 make_admission(self.admission, self.metrics),
                 make_idempotency(self.claims, self.metrics),
@@ -224,21 +228,21 @@
         await self._draining.wait()
         await trio.sleep(self.settings.timing.drain_notice)
 
-    def _notice_generation(self, fact: Fact) -> None:
-        heard = fact.body.get(GENERATION_PART)
-        if isinstance(heard, int) and heard > self.configuration.generation:
+    def _queue_newer_generation(self, fact: Fact) -> None:
+        generation = fact.body.get(GENERATION_PART)
+        if isinstance(generation, int) and generation > self.configuration.generation:
             try:
-                self._heard.send_nowait(fact)
+                self._fact_sender.send_nowait(fact)
             except trio.WouldBlock:
                 # The next fact of that origin says the same.
                 return
 
     async def _fetch_configurations(self) -> None:
-        async for fact in self._hear:
-            above = self.configuration.generation
-            if fact.body[GENERATION_PART] <= above:
+        async for fact in self._fact_receiver:
+            own_generation = self.configuration.generation
+            if fact.body[GENERATION_PART] <= own_generation:
                 continue
-            answer = await self._ask(fact.origin, ConfigRequest(above))
+            answer = await self._ask(fact.origin, ConfigRequest(own_generation))
             if isinstance(answer, ConfigAnswer):
                 if self.configuration.adopt_from_peer(answer):
                     self.members.update_own_fact()
@@ -250,9 +254,9 @@
         """Ask one peer for the learned cache views, once after the start."""
         await self.configuration.ready.wait()
         while not self.members.list_live():
-            await trio.sleep(START_POLL_SECONDS)
+            await trio.sleep(PEER_POLL_SECONDS)
         peer = self.members.list_live()[0].origin
-        answer = await self._ask(peer, CacheRequest(VIEW_BLOCKS))
+        answer = await self._ask(peer, CacheRequest(MAX_VIEW_BLOCKS))
         if isinstance(answer, CacheAnswer):
             self.engines.import_views(answer.views)
 
@@ -269,8 +273,8 @@
 async def run_app_until(
     app: Any,
     address: str,
-    end: trio.Event,
+    stop: trio.Event,
     task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve ``app`` until ``end`` is set."""
-    await run_app(app, address, end.wait, task_status=task_status)
+    await run_app(app, address, stop.wait, task_status=task_status)
