--- a/ashpond/checking.py
+++ b/ashpond/checking.py
@@ -10,7 +10,7 @@
 
 from ashpond.addresses import parse_address
 from ashpond.errors import InputProblem
-from ashpond.tables import MAX_SHOWN
+from ashpond.tables import MAX_SHOWN_CHARACTERS
 
 SECRET_KEYS = ("secret", "token", "key_hashes")
 
@@ -31,20 +31,22 @@
     try:
         return adapter.validate_python(table), []
     except ValidationError as error:
-        return None, [_explain(name, fault) for fault in error.errors()]
+        return None, [_describe_fault(name, fault) for fault in error.errors()]
 
 
-def _explain(name: str, fault: Any) -> InputProblem:
+def _describe_fault(name: str, fault: Any) -> InputProblem:
     key = ".".join(str(part) for part in fault["loc"]) or "(file)"
     if fault["type"] == "extra_forbidden":
         return InputProblem(name, key, "", "unknown key")
     if fault["type"] == "missing":
         return InputProblem(name, key, "", "this key is required")
-    return InputProblem(name, key, _show(key, fault.get("input")), fault["msg"])
+    return InputProblem(name, key, _format_value(key, fault.get("input")), fault["msg"])
 
 
-def _show(key: str, value: Any) -> str:
+def _format_value(key: str, value: Any) -> str:
     if any(part in key for part in SECRET_KEYS):
         return ""
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "…"
+    return (
+        text if len(text) <= MAX_SHOWN_CHARACTERS else text[:MAX_SHOWN_CHARACTERS] + "…"
+    )
--- a/ashpond/cli.py
+++ b/ashpond/cli.py
@@ -53,7 +53,7 @@
     sys.exit(code)
 
 
-def explain(answer: AdminAnswer) -> NoReturn:
+def fail_with_answer(answer: AdminAnswer) -> NoReturn:
     """Print what an instance answered, and exit with the code that fits."""
     for problem in answer.body.get("problems", []):
         click.echo(problem, err=True)
@@ -122,13 +122,13 @@
     client = AdminClient(admin, token)
     answer = client.apply(change, base)
     if answer.status != OK_STATUS:
-        explain(answer)
+        fail_with_answer(answer)
     generation = answer.body["generation"]
     click.echo(f"generation {generation} accepted")
     if wait:
-        late = client.wait_for(generation, limit)
-        if late:
-            fail(f"not yet in force on {', '.join(late)}", FAILED)
+        lagging = client.wait_for(generation, limit)
+        if lagging:
+            fail(f"not yet in force on {', '.join(lagging)}", FAILED)
         click.echo(f"generation {generation} in force on all live instances")
 
 
@@ -142,7 +142,7 @@
 
     answer = AdminClient(admin, token).get("/admin/status")
     if answer.status != OK_STATUS:
-        explain(answer)
+        fail_with_answer(answer)
     if as_json:
         click.echo(orjson.dumps(answer.body, option=orjson.OPT_INDENT_2))
         return
@@ -176,7 +176,7 @@
 
     answer = AdminClient(admin, token).get("/admin/burn")
     if answer.status != OK_STATUS:
-        explain(answer)
+        fail_with_answer(answer)
     rows = answer.body["rows"]
     if html:
         with open(html, "w", encoding="utf-8") as file:
--- a/ashpond/gateway/settings.py
+++ b/ashpond/gateway/settings.py
@@ -20,7 +20,7 @@
 from ashpond.decisions.allowances import AllowanceBounds
 from ashpond.decisions.fleetlinks import MAX_MESH_MEMBERS
 from ashpond.errors import InputProblem, SettingsError
-from ashpond.tables import MAX_SHOWN, load_toml
+from ashpond.tables import MAX_SHOWN_CHARACTERS, load_toml
 
 # ``msgspec`` is used, as importing ``pydantic`` takes a quarter of the start time, and
 # after the loss of all instances no call is served until one has started.
@@ -181,4 +181,4 @@
     for part in key.split("."):
         value = value.get(part, "") if isinstance(value, dict) else ""
     reason = found["reason"] if found else error_text
-    return InputProblem(name, key, repr(value)[:MAX_SHOWN], reason)
+    return InputProblem(name, key, repr(value)[:MAX_SHOWN_CHARACTERS], reason)
--- a/ashpond/operator.py
+++ b/ashpond/operator.py
@@ -13,8 +13,8 @@
 
 from ashpond.errors import ConfigError, InputProblem
 
-APPLY_TRIES = 5
-PAUSE_SECONDS = 0.5
+APPLY_ATTEMPTS = 5
+RETRY_SECONDS = 0.5
 TIMEOUT_SECONDS = 15.0
 UNAVAILABLE = 503
 
@@ -50,29 +50,29 @@
         """
         change = {"files": files, "base": base, "apply_id": uuid.uuid4().hex}
         answer = AdminAnswer(0, {"error": "not sent"})
-        for _ in range(APPLY_TRIES):
+        for _ in range(APPLY_ATTEMPTS):
             answer = self._call("POST", "/admin/apply", change)
             if answer.status not in (0, UNAVAILABLE):
                 return answer
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_SECONDS)
         return answer
 
-    def wait_for(self, generation: int, limit: float) -> list[str]:
+    def wait_for(self, generation: int, timeout: float) -> list[str]:
         """Wait until all live instances run ``generation``; return the late ones."""
-        end = time.monotonic() + limit
-        late = ["(no answer)"]
-        while time.monotonic() < end:
+        deadline = time.monotonic() + timeout
+        lagging = ["(no answer)"]
+        while time.monotonic() < deadline:
             answer = self.get("/admin/status")
             if answer.status == httpx.codes.OK:
-                late = [
+                lagging = [
                     entry["address"]
                     for entry in answer.body["instances"]
                     if entry["state"] == "live" and entry["generation"] < generation
                 ]
-                if not late:
+                if not lagging:
                     return []
-            time.sleep(PAUSE_SECONDS / 5)
-        return late
+            time.sleep(RETRY_SECONDS / 5)
+        return lagging
 
     def _call(self, method: str, path: str, body: Any) -> AdminAnswer:
         try:
--- a/ashpond/tables.py
+++ b/ashpond/tables.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["MAX_SHOWN", "load_toml"]
+__all__ = ["MAX_SHOWN_CHARACTERS", "load_toml"]
 
 import tomllib
 from typing import Any
@@ -10,7 +10,7 @@
 from ashpond.errors import InputProblem
 
 # Of a faulty value, so many characters are shown.
-MAX_SHOWN = 60
+MAX_SHOWN_CHARACTERS = 60
 
 
 def load_toml(name: str, text: str) -> tuple[dict[str, Any], list[InputProblem]]:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -14,7 +14,7 @@
 
 from tests.processes import (
     KEY,
-    PATIENCE_SECONDS,
+    TIMEOUT_SECONDS,
     ask,
     count_prefilled,
     count_running,
@@ -33,7 +33,7 @@
         url = f"http://{instance.address}/v1/chat/completions"
         assert client.post(url, json=make_body()).status_code == 200
         instance.popen.send_signal(signal.SIGTERM)
-        assert instance.popen.wait(PATIENCE_SECONDS) == 0
+        assert instance.popen.wait(TIMEOUT_SECONDS) == 0
     restart(fleet, 1)
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,7 +17,7 @@
 
 from tests.processes import (
     KEY,
-    PATIENCE_SECONDS,
+    TIMEOUT_SECONDS,
     ask,
     call,
     count_prefilled,
@@ -98,7 +98,7 @@
         for stream in streams:
             text = stream.result().text
             assert read_events(text) == list(range(1, 152)), text[-SHOWN_CHARACTERS:]
-        assert instance.popen.wait(PATIENCE_SECONDS) == 0
+        assert instance.popen.wait(TIMEOUT_SECONDS) == 0
         assert ask(fleet.instances[0]).status_code == 200
     finally:
         # Later tests need the instance, also if this one fails.
@@ -133,7 +133,7 @@
         head = next(response.iter_text())
     had = read_events(head[: head.rindex("\n\n") + 1])
     url = f"http://{second.address}/v1/streams/{token}?after={had[-1]}"
-    rest = httpx.get(url, headers=KEY, timeout=PATIENCE_SECONDS)
+    rest = httpx.get(url, headers=KEY, timeout=TIMEOUT_SECONDS)
     assert had + read_events(rest.text) == list(range(1, 32))
     other = {"Authorization": "Bearer demo-key-auditors"}
     assert httpx.get(url, headers=other).status_code == 404
@@ -226,7 +226,7 @@
     set_all(fleet, fleet.services, drop_answers=1)
     url = f"http://{fleet.instances[0].address}/services/settle-pub/publish"
     marks = KEY | {"X-Call-Id": key}
-    answer = httpx.post(url, content=b"x", headers=marks, timeout=PATIENCE_SECONDS)
+    answer = httpx.post(url, content=b"x", headers=marks, timeout=TIMEOUT_SECONDS)
     set_all(fleet, fleet.services, drop_answers=0)
     assert answer.json()["error"]["run"] == "outcome_unknown"
     assert count_runs(fleet, key) == 1
