--- a/ashpond/clients/engine.py
+++ b/ashpond/clients/engine.py
@@ -161,7 +161,7 @@
     try:
         response = await client.send(built, stream=True)
     except NOT_SENT_ERRORS as error:
-        return NotRun(f"not reached: {error!r}", is_unreached=True)
+        return NotRun(f"not reached: {error!r}", unreached=True)
     except httpx.HTTPError as error:
         return MaybeRun(repr(error))
     status = response.status_code
--- a/ashpond/clients/service.py
+++ b/ashpond/clients/service.py
@@ -74,7 +74,7 @@
         )
         response = await client.send(built)
     except NOT_SENT_ERRORS as error:
-        return NotRun(f"not reached: {error!r}", is_unreached=True)
+        return NotRun(f"not reached: {error!r}", unreached=True)
     except httpx.HTTPError as error:
         return MaybeRun(repr(error))
     if response.headers.get(NOT_RUN_HEADER) == "true":
--- a/ashpond/filters/dispatch.py
+++ b/ashpond/filters/dispatch.py
@@ -184,7 +184,7 @@
             call.progress.run = run_before
         if outcome.backoff is not None:
             self._engines.note_backoff(placement.server, outcome.backoff)
-        is_refused = isinstance(outcome, NotRun) and outcome.is_unreached
+        is_refused = isinstance(outcome, NotRun) and outcome.unreached
         if is_refused or isinstance(outcome, MaybeRun):
             self._engines.note_failure(placement.server, refused=is_refused)
         else:
--- a/ashpond/outcomes.py
+++ b/ashpond/outcomes.py
@@ -84,7 +84,7 @@
     """
 
     reason: str
-    is_unreached: bool = False
+    unreached: bool = False
     backoff: float | None = None
 
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -123,7 +123,7 @@
     port = listener.socket.getsockname()[1]
     await listener.aclose()
     outcome = await send_to(f"127.0.0.1:{port}", kind)
-    assert outcome == NotRun(outcome.reason, is_unreached=True)
+    assert outcome == NotRun(outcome.reason, unreached=True)
 
 
 @pytest.mark.parametrize("kind", ["plain", "engine"])
