--- a/ashpond/asgi.py
+++ b/ashpond/asgi.py
@@ -61,7 +61,7 @@
     async def receive() -> Event:
         nonlocal is_whole
         if is_whole:
-            await exchange.wait_until_gone()
+            await exchange.wait_until_client_left()
             return {"type": "http.disconnect"}
         piece = await exchange.read_piece()
         if piece is None:
--- a/ashpond/connections.py
+++ b/ashpond/connections.py
@@ -228,7 +228,7 @@
         elif exchange.is_refused:
             self._closed_by = ClosedBy.BAD_REQUEST
             await self._linger()
-        elif not exchange.is_client_gone and not self._wire.is_broken:
+        elif not exchange.has_client_left and not self._wire.is_broken:
             self._closed_by = ClosedBy.BROKEN_ANSWER
             if not self._wire.has_answer_begun():
                 await self._refuse(INTERNAL_ERROR, ClosedBy.BROKEN_ANSWER)
--- a/ashpond/exchanges.py
+++ b/ashpond/exchanges.py
@@ -46,7 +46,7 @@
         self.is_started = False
         self.is_finished = False
         self.is_refused = False
-        self.is_client_gone = False
+        self.has_client_left = False
         self._wire = wire
         self._limits = limits
         self._is_last = is_last
@@ -71,7 +71,7 @@
         if isinstance(event, h11.RemoteProtocolError):
             await self._refuse(event.error_status_hint, str(event))
             return None
-        self.is_client_gone = True
+        self.has_client_left = True
         return None
 
     async def _refuse(self, status: int, failure: str) -> None:
@@ -79,19 +79,19 @@
         self._wire.failure = failure
         await self._wire.refuse(status)
 
-    async def notice_end(self) -> bool:
+    async def check_client_left(self) -> bool:
         """Return whether the client has left by now; wait for nothing.
 
         A client that sends nothing more but still reads cannot be told from one that
         has left, and is taken for it.
         """
-        while not self.is_client_gone and self._wire.is_readable():
+        while not self.has_client_left and self._wire.is_readable():
             if not self._wire.can_read_ahead():
                 break
-            self.is_client_gone = not await self._wire.read_ahead()
-        return self.is_client_gone
+            self.has_client_left = not await self._wire.read_ahead()
+        return self.has_client_left
 
-    async def wait_until_gone(self) -> None:
+    async def wait_until_client_left(self) -> None:
         """Return once the client has ended the connection.
 
         One that has sent a whole read of further requests is read no more, and its end
@@ -99,7 +99,7 @@
         """
         while await self._wire.read_ahead():
             pass
-        self.is_client_gone = True
+        self.has_client_left = True
 
     async def start(self, status: int, headers: Headers) -> None:
         """Begin the answer; its head is written with its first piece or its end."""
--- a/ashpond/gateway/ingress.py
+++ b/ashpond/gateway/ingress.py
@@ -161,7 +161,7 @@
             body = await self._read_body(exchange)
             # If the event loop was delayed, the client may have left since it sent the
             # request.
-            if body is None or await exchange.notice_end():
+            if body is None or await exchange.check_client_left():
                 return
             call = self._build_call(exchange, body, received_at)
             if call is None:
@@ -214,7 +214,7 @@
         """
 
         async def cancel_when_client_leaves() -> None:
-            await exchange.wait_until_gone()
+            await exchange.wait_until_client_left()
             nursery.cancel_scope.cancel()
 
         by: CutBy | None = CutBy.GRACE_PERIOD
@@ -224,7 +224,7 @@
                 nursery.start_soon(cancel_when_client_leaves)
                 await self._handle(call, exchange)
                 nursery.cancel_scope.cancel()
-            by = CutBy.CLIENT if exchange.is_client_gone else None
+            by = CutBy.CLIENT if exchange.has_client_left else None
         except Exception as error:
             by, failure = CutBy.FAILURE, repr(error)
             raise
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -190,7 +190,7 @@
     async def fail(exchange: Exchange) -> None:
         await drain(exchange)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(exchange.wait_until_gone)
+            nursery.start_soon(exchange.wait_until_client_left)
             try:
                 await trio.sleep_forever()
             finally:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -248,7 +248,7 @@
     async def watch(exchange: Exchange) -> None:
         while await exchange.read_piece():
             pass
-        await exchange.wait_until_gone()
+        await exchange.wait_until_client_left()
         left.set()
 
     async with run_listener(watch) as running:
@@ -272,8 +272,8 @@
         while await exchange.read_piece():
             pass
         with trio.move_on_after(0):
-            await exchange.wait_until_gone()
-        await exchange.wait_until_gone()
+            await exchange.wait_until_client_left()
+        await exchange.wait_until_client_left()
 
     async with run_listener(wait) as running:
         stream = await running.connect()
