--- a/ashpond/connections.py
+++ b/ashpond/connections.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Closed", "ClosedBy", "Connection", "ConnectionLimits"]
+__all__ = ["ClosedConnection", "CloseReason", "Connection", "ConnectionLimits"]
 
 from enum import StrEnum
 from typing import TYPE_CHECKING, NamedTuple
@@ -44,7 +44,7 @@
     idle_timeout: float
 
 
-class ClosedBy(StrEnum):
+class CloseReason(StrEnum):
     """Who ended a connection, or why this side did."""
 
     CLIENT = "client"
@@ -59,7 +59,7 @@
     GRACE_PERIOD = "grace_period"
 
 
-class Closed(NamedTuple):
+class ClosedConnection(NamedTuple):
     """The end of a connection.
 
     ``idle`` is the time since its last answer, or since it was accepted, and
@@ -67,7 +67,7 @@
     been read and not answered to its end.
     """
 
-    by: ClosedBy
+    by: CloseReason
     requests: int
     idle: float
     idle_limit: float
@@ -89,7 +89,7 @@
         handle: Callable[[Exchange], Awaitable[None]],
         get_limits: Callable[[], ConnectionLimits],
         is_leaving: Callable[[], bool],
-        note_closed: Callable[[Closed], None],
+        note_closed: Callable[[ClosedConnection], None],
     ):
         self._stream = stream
         self._wire = Wire(stream, get_limits().max_header_bytes)
@@ -102,7 +102,7 @@
         self._idle_since = trio.current_time()
         self._idle_scope: trio.CancelScope | None = None
         self._exchange: Exchange | None = None
-        self._closed_by = ClosedBy.CLIENT
+        self._closed_by = CloseReason.CLIENT
 
     async def run(self) -> None:
         """Serve requests, one after the other, until the connection has to end."""
@@ -113,7 +113,7 @@
         except BaseException:
             # Errors of the handler end in an answer; this is the end of the process.
             if self._has_call():
-                self._closed_by = ClosedBy.GRACE_PERIOD
+                self._closed_by = CloseReason.GRACE_PERIOD
             raise
         finally:
             self._close()
@@ -157,7 +157,7 @@
             if trio.current_time() >= self._find_idle_end():
                 break
         self._closed_by = (
-            ClosedBy.SHUTDOWN if self._is_shutting_down else ClosedBy.IDLE_LIMIT
+            CloseReason.SHUTDOWN if self._is_shutting_down else CloseReason.IDLE_LIMIT
         )
         return False
 
@@ -193,50 +193,50 @@
         with trio.move_on_after(limits.header_timeout) as scope:
             event = await self._wire.read_event()
         if scope.cancelled_caught:
-            await self._refuse(REQUEST_TIMEOUT, ClosedBy.HEADER_TIMEOUT)
+            await self._refuse(REQUEST_TIMEOUT, CloseReason.HEADER_TIMEOUT)
             return None
         if isinstance(event, h11.RemoteProtocolError):
             self._wire.failure = str(event)
-            await self._refuse(event.error_status_hint, ClosedBy.BAD_REQUEST)
+            await self._refuse(event.error_status_hint, CloseReason.BAD_REQUEST)
             return None
         if not isinstance(event, h11.Request):
             return None
         if _measure_head(event) > limits.max_header_bytes:
-            await self._refuse(HEADERS_TOO_LARGE, ClosedBy.BAD_REQUEST)
+            await self._refuse(HEADERS_TOO_LARGE, CloseReason.BAD_REQUEST)
             return None
         if event.method == TUNNEL_METHOD:
-            await self._refuse(NOT_IMPLEMENTED, ClosedBy.BAD_REQUEST)
+            await self._refuse(NOT_IMPLEMENTED, CloseReason.BAD_REQUEST)
             return None
         return event
 
-    async def _refuse(self, status: int, by: ClosedBy) -> None:
+    async def _refuse(self, status: int, by: CloseReason) -> None:
         self._closed_by = by
         await self._wire.refuse(status)
         await self._linger()
 
     async def _end_failed(self, exchange: Exchange, error: Exception) -> None:
         self._wire.failure = repr(error)
-        self._closed_by = ClosedBy.FAILURE
+        self._closed_by = CloseReason.FAILURE
         if exchange.is_finished:
             await self._linger()
         elif not self._wire.has_answer_begun():
-            await self._refuse(INTERNAL_ERROR, ClosedBy.FAILURE)
+            await self._refuse(INTERNAL_ERROR, CloseReason.FAILURE)
 
     async def _end_unanswered(self, exchange: Exchange) -> None:
         if self._wire.is_stalled:
-            self._closed_by = ClosedBy.ANSWER_NOT_TAKEN
+            self._closed_by = CloseReason.ANSWER_NOT_TAKEN
         elif exchange.is_refused:
-            self._closed_by = ClosedBy.BAD_REQUEST
+            self._closed_by = CloseReason.BAD_REQUEST
             await self._linger()
         elif not exchange.has_client_left and not self._wire.is_broken:
-            self._closed_by = ClosedBy.BROKEN_ANSWER
+            self._closed_by = CloseReason.BROKEN_ANSWER
             if not self._wire.has_answer_begun():
-                await self._refuse(INTERNAL_ERROR, ClosedBy.BROKEN_ANSWER)
+                await self._refuse(INTERNAL_ERROR, CloseReason.BROKEN_ANSWER)
 
     async def _prepare_next(self) -> bool:
         if self._wire.start_next_cycle():
             return True
-        self._closed_by = ClosedBy.LAST_ANSWER
+        self._closed_by = CloseReason.LAST_ANSWER
         await self._linger()
         return False
 
@@ -258,7 +258,7 @@
             self._wire.reset()
         else:
             self._wire.close()
-        closed = Closed(
+        closed = ClosedConnection(
             self._closed_by,
             self._requests,
             trio.current_time() - self._idle_since,
--- a/ashpond/gateway/connectionlog.py
+++ b/ashpond/gateway/connectionlog.py
@@ -6,7 +6,7 @@
 
 from typing import TYPE_CHECKING
 
-from ashpond.connections import Closed, ClosedBy
+from ashpond.connections import ClosedConnection, CloseReason
 from ashpond.loopdelay import LoopDelay, LoopWatch
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 # Shorter delays of the event loop are counted, but not logged (seconds).
 LOGGED_DELAY_SECONDS = 0.05
 # Causes for which the close of an idle connection is counted, but not logged.
-UNLOGGED_CAUSES = (ClosedBy.CLIENT, ClosedBy.LAST_ANSWER)
+UNLOGGED_CAUSES = (CloseReason.CLIENT, CloseReason.LAST_ANSWER)
 
 
 class ConnectionLog:
@@ -57,7 +57,7 @@
             loop_delay=self.watch.describe(),
         )
 
-    def note_closed(self, closed: Closed) -> None:
+    def note_closed(self, closed: ClosedConnection) -> None:
         """Record a closed connection."""
         self._metrics.count_closed(closed.by)
         if closed.by in UNLOGGED_CAUSES and not closed.has_call:
--- a/ashpond/gateway/ingress.py
+++ b/ashpond/gateway/ingress.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from ashpond.connections import Closed, ConnectionLimits
+from ashpond.connections import ClosedConnection, ConnectionLimits
 from ashpond.decisions.declared import IngressLimits
 from ashpond.exchanges import Exchange
 from ashpond.gateway.calls import Codec, IncomingCall, Reply
@@ -84,7 +84,7 @@
         render_status: Callable[[], bytes],
         release_quarantined: Callable[[str], bool] = lambda fingerprint: False,
         note_cut: Callable[[CutCall], None] = lambda cut: None,
-        note_closed: Callable[[Closed], None] = lambda closed: None,
+        note_closed: Callable[[ClosedConnection], None] = lambda closed: None,
         note_error: Callable[[str, BaseException], None] = lambda event, error: None,
     ):
         self.is_leaving = False
--- a/ashpond/listener.py
+++ b/ashpond/listener.py
@@ -10,7 +10,7 @@
 import trio
 
 from ashpond.addresses import parse_address
-from ashpond.connections import Closed, Connection, ConnectionLimits
+from ashpond.connections import ClosedConnection, Connection, ConnectionLimits
 
 if TYPE_CHECKING:
     from ashpond.exchanges import Exchange
@@ -37,7 +37,7 @@
         handlers: Mapping[str, Handle],
         get_limits: Callable[[], ConnectionLimits],
         is_leaving: Callable[[], bool] = lambda: False,
-        note_closed: Callable[[Closed], None] = lambda closed: None,
+        note_closed: Callable[[ClosedConnection], None] = lambda closed: None,
         note_trouble: Callable[[str, BaseException], None] = lambda event, error: None,
     ):
         self._handlers = dict(handlers)
--- a/ashpond/server.py
+++ b/ashpond/server.py
@@ -13,7 +13,7 @@
 from quart_trio import QuartTrio
 
 from ashpond.asgi import make_handler, run_lifespan
-from ashpond.connections import Closed, ClosedBy, ConnectionLimits
+from ashpond.connections import ClosedConnection, CloseReason, ConnectionLimits
 from ashpond.listener import Listener
 
 if TYPE_CHECKING:
@@ -26,11 +26,11 @@
 # Clients keep connections for minutes; a head comes in one piece or a few.
 LIMITS = ConnectionLimits(max_header_bytes=16_384, header_timeout=15, idle_timeout=75)
 # Ends that are a matter of course.
-QUIET_ENDS = (
-    ClosedBy.CLIENT,
-    ClosedBy.IDLE_LIMIT,
-    ClosedBy.SHUTDOWN,
-    ClosedBy.LAST_ANSWER,
+ROUTINE_REASONS = (
+    CloseReason.CLIENT,
+    CloseReason.IDLE_LIMIT,
+    CloseReason.SHUTDOWN,
+    CloseReason.LAST_ANSWER,
 )
 
 
@@ -68,8 +68,8 @@
         await listener.run(shutdown, graceful_seconds, task_status)
 
 
-def _note_closed(closed: Closed) -> None:
-    if closed.by in QUIET_ENDS and not closed.has_call:
+def _note_closed(closed: ClosedConnection) -> None:
+    if closed.by in ROUTINE_REASONS and not closed.has_call:
         return
     fields = {name: value for name, value in closed._asdict().items() if value}
     logger.notice("connection_cut", extra=fields)
--- a/tests/listeners.py
+++ b/tests/listeners.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ashpond.connections import Closed, ConnectionLimits
+from ashpond.connections import ClosedConnection, ConnectionLimits
 from ashpond.exchanges import Exchange
 from ashpond.listener import Listener
 from tests.ports import find_free_port
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.address = f"127.0.0.1:{find_free_port()}"
         self.stop = trio.Event()
-        self.closed: list[Closed] = []
+        self.closed: list[ClosedConnection] = []
         self.is_leaving = False
         self.limits = LIMITS
         self.scope: trio.CancelScope | None = None
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from ashpond.connections import ClosedBy
+from ashpond.connections import CloseReason
 from ashpond.exchanges import Exchange
 from ashpond.listener import Listener
 from tests.kept_connections import BODY, run_desk
@@ -132,7 +132,7 @@
             await stream.send_all(REQUEST)
             await trio.sleep(30)
     (closed,) = running.closed
-    assert (closed.by, closed.has_call) == (ClosedBy.ANSWER_NOT_TAKEN, True)
+    assert (closed.by, closed.has_call) == (CloseReason.ANSWER_NOT_TAKEN, True)
 
 
 async def test_slow_reader_does_not_delay_the_shutdown(autojump_clock):
--- a/tests/test_connectionlog.py
+++ b/tests/test_connectionlog.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ashpond.connections import Closed, ClosedBy
+from ashpond.connections import ClosedConnection, CloseReason
 from ashpond.gateway.connectionlog import ConnectionLog
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.gateway.ingress import CutBy, CutCall
@@ -22,8 +22,8 @@
     return ConnectionLog(log, metrics, lambda: 3, lambda: True), metrics, lines
 
 
-def make_closed(by: ClosedBy, *, has_call: bool = False) -> Closed:
-    return Closed(by, 4, 1.5, 2.0, has_call, None)
+def make_closed(by: CloseReason, *, has_call: bool = False) -> ClosedConnection:
+    return ClosedConnection(by, 4, 1.5, 2.0, has_call, None)
 
 
 def test_cut_call_is_counted_and_logged_with_its_cause():
@@ -36,7 +36,7 @@
     assert b'cut_calls{cause="client"} 1' in metrics.render()
 
 
-@pytest.mark.parametrize("by", [ClosedBy.IDLE_LIMIT, ClosedBy.SHUTDOWN])
+@pytest.mark.parametrize("by", [CloseReason.IDLE_LIMIT, CloseReason.SHUTDOWN])
 def test_close_by_the_instance_is_logged(by):
     connection_log, metrics, lines = make_log()
     connection_log.note_closed(make_closed(by))
@@ -47,8 +47,8 @@
 
 def test_idle_close_by_the_client_is_counted_but_not_logged():
     connection_log, metrics, lines = make_log()
-    connection_log.note_closed(make_closed(ClosedBy.CLIENT))
-    connection_log.note_closed(make_closed(ClosedBy.CLIENT, has_call=True))
+    connection_log.note_closed(make_closed(CloseReason.CLIENT))
+    connection_log.note_closed(make_closed(CloseReason.CLIENT, has_call=True))
     assert [line["has_call"] for line in lines] == [True]
     assert b'closed{cause="client"} 2' in metrics.render()
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -7,7 +7,7 @@
 import trio.testing
 from hypothesis import given, settings, strategies as st
 
-from ashpond.connections import ClosedBy
+from ashpond.connections import CloseReason
 from ashpond.exchanges import Exchange
 from ashpond.wire import READ_BYTES
 from tests.listeners import (
@@ -121,7 +121,7 @@
         await running.ask(POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n")
         await take_steps(STEPS)
     (closed,) = running.closed
-    assert closed.by == ClosedBy.BAD_REQUEST
+    assert closed.by == CloseReason.BAD_REQUEST
     assert closed.failure
 
 
@@ -135,7 +135,7 @@
             seen = await read_all(stream)
         await take_steps(STEPS)
     assert seen.startswith(b"HTTP/1.1 408")
-    assert [closed.by for closed in running.closed] == [ClosedBy.HEADER_TIMEOUT]
+    assert [closed.by for closed in running.closed] == [CloseReason.HEADER_TIMEOUT]
 
 
 async def test_a_body_that_does_not_come_whole_is_refused(mock_clock):
@@ -174,7 +174,7 @@
             mock_clock.jump(LIMITS.idle_timeout)
             assert await read_all(stream) == b""
     (closed,) = running.closed
-    assert (closed.by, closed.requests) == (ClosedBy.IDLE_LIMIT, 2)
+    assert (closed.by, closed.requests) == (CloseReason.IDLE_LIMIT, 2)
     assert closed.idle == pytest.approx(LIMITS.idle_timeout)
     assert not closed.has_call
 
@@ -189,7 +189,7 @@
         await take_steps(STEPS)
     assert b"connection: close" in seen.lower()
     assert seen.endswith(b"ab")
-    assert [closed.by for closed in running.closed] == [ClosedBy.LAST_ANSWER]
+    assert [closed.by for closed in running.closed] == [CloseReason.LAST_ANSWER]
 
 
 async def test_a_failing_handler_is_answered_500_and_told():
@@ -201,7 +201,7 @@
         await take_steps(STEPS)
     assert seen.startswith(b"HTTP/1.1 500")
     (closed,) = running.closed
-    assert (closed.by, closed.has_call) == (ClosedBy.FAILURE, True)
+    assert (closed.by, closed.has_call) == (CloseReason.FAILURE, True)
     assert "broken" in (closed.failure or "")
 
 
@@ -220,7 +220,7 @@
         await take_steps(STEPS)
     assert b"part" in seen
     assert not seen.endswith(b"0\r\n\r\n")
-    assert [closed.by for closed in running.closed] == [ClosedBy.BROKEN_ANSWER]
+    assert [closed.by for closed in running.closed] == [CloseReason.BROKEN_ANSWER]
 
 
 @pytest.mark.parametrize("status", [200, 204, 304])
@@ -264,7 +264,7 @@
             await left.wait()
         await take_steps(STEPS)
     (closed,) = running.closed
-    assert (closed.by, closed.has_call) == (ClosedBy.CLIENT, True)
+    assert (closed.by, closed.has_call) == (CloseReason.CLIENT, True)
 
 
 async def test_a_client_that_sends_on_and_on_is_not_read_without_end():
@@ -317,7 +317,7 @@
             mock_clock.jump(GRACE_SECONDS)
             assert await read_all(stream) == b""
     (closed,) = running.closed
-    assert (closed.by, closed.has_call) == (ClosedBy.GRACE_PERIOD, True)
+    assert (closed.by, closed.has_call) == (CloseReason.GRACE_PERIOD, True)
 
 
 async def test_a_client_that_takes_nothing_does_not_outlast_the_grace_period(
@@ -342,7 +342,7 @@
             mock_clock.jump(GRACE_SECONDS)
             await take_steps(STEPS)
             (closed,) = running.closed
-    assert (closed.by, closed.has_call) == (ClosedBy.GRACE_PERIOD, True)
+    assert (closed.by, closed.has_call) == (CloseReason.GRACE_PERIOD, True)
 
 
 async def test_connections_that_nobody_accepted_yet_are_served_at_shutdown():
