--- a/ashpond/listener.py
+++ b/ashpond/listener.py
@@ -38,13 +38,13 @@
         get_limits: Callable[[], ConnectionLimits],
         is_leaving: Callable[[], bool] = lambda: False,
         note_closed: Callable[[ClosedConnection], None] = lambda closed: None,
-        note_trouble: Callable[[str, BaseException], None] = lambda event, error: None,
+        note_error: Callable[[str, BaseException], None] = lambda event, error: None,
     ):
         self._handlers = dict(handlers)
         self._get_limits = get_limits
         self._is_leaving = is_leaving
         self._note_closed = note_closed
-        self._note_trouble = note_trouble
+        self._note_error = note_error
         self._connections: set[Connection] = set()
         self._grace_ends_at: float | None = None
 
@@ -84,7 +84,7 @@
     ) -> None:
         self._grace_ends_at = grace_ends_at
         for listener, handle in listeners:
-            await self._accept_rest(listener, handle, nursery)
+            await self._accept_pending(listener, handle, nursery)
             listener.socket.close()
         for connection in self._connections:
             connection.shut_down(grace_ends_at)
@@ -101,12 +101,12 @@
             try:
                 stream = await listener.accept()
             except OSError as error:
-                self._note_trouble("accepting_paused", error)
+                self._note_error("accepting_paused", error)
                 await trio.sleep(ACCEPT_PAUSE_SECONDS)
                 continue
             nursery.start_soon(self._serve, stream, handle)
 
-    async def _accept_rest(
+    async def _accept_pending(
         self, listener: trio.SocketListener, handle: Handle, nursery: trio.Nursery
     ) -> None:
         """Take the connections that clients have made and nobody has accepted.
@@ -119,7 +119,7 @@
                 try:
                     stream = await listener.accept()
                 except OSError as error:
-                    self._note_trouble("connection_unaccepted", error)
+                    self._note_error("connection_unaccepted", error)
                     return
                 nursery.start_soon(self._serve, stream, handle)
 
@@ -134,7 +134,7 @@
             await connection.run()
         except* Exception as group:
             # Of a handler that failed as the grace period ended: no other may suffer.
-            self._note_trouble("connection_failed", group)
+            self._note_error("connection_failed", group)
         finally:
             self._connections.discard(connection)
 
--- a/ashpond/server.py
+++ b/ashpond/server.py
@@ -22,7 +22,7 @@
 logger = Logger("ashpond.server")
 
 MAX_BODY_BYTES = 64 << 20
-SHUTDOWN_SECONDS = 2
+GRACE_SECONDS = 2
 # Clients keep connections for minutes; a head comes in one piece or a few.
 LIMITS = ConnectionLimits(max_header_bytes=16_384, header_timeout=15, idle_timeout=75)
 # Ends that are a matter of course.
@@ -54,7 +54,7 @@
     address: str,
     shutdown: Callable[[], Awaitable[object]],
     *,
-    graceful_seconds: float = SHUTDOWN_SECONDS,
+    graceful_seconds: float = GRACE_SECONDS,
     task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve ``app`` until ``shutdown`` returns, then let answers in flight end."""
@@ -62,7 +62,7 @@
         {address: make_handler(app)},
         lambda: LIMITS,
         note_closed=_note_closed,
-        note_trouble=_note_trouble,
+        note_error=_note_error,
     )
     async with run_lifespan(app):
         await listener.run(shutdown, graceful_seconds, task_status)
@@ -75,5 +75,5 @@
     logger.notice("connection_cut", extra=fields)
 
 
-def _note_trouble(event: str, error: BaseException) -> None:
+def _note_error(event: str, error: BaseException) -> None:
     logger.error(event, extra={"error": repr(error)})
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -240,7 +240,7 @@
     listener = Listener(
         {running.address: drain_and_answer},
         lambda: running.limits,
-        note_trouble=lambda event, error: reported.append((event, repr(error))),
+        note_error=lambda event, error: reported.append((event, repr(error))),
     )
     accept = trio.SocketListener.accept
     failures = [OSError(errno.EMFILE, "too many open files")]
