--- a/ashpond/asgi.py
+++ b/ashpond/asgi.py
@@ -19,10 +19,10 @@
 
 Event = dict[str, Any]
 
-VERSIONS = {"version": "3.0", "spec_version": "2.3"}
+ASGI_VERSIONS = {"version": "3.0", "spec_version": "2.3"}
 
 
-class StartError(AshpondError):
+class StartupError(AshpondError):
     """The application says that it cannot start."""
 
 
@@ -40,7 +40,7 @@
     path, _, query = exchange.target.partition(b"?")
     return {
         "type": "http",
-        "asgi": VERSIONS,
+        "asgi": ASGI_VERSIONS,
         "http_version": exchange.http_version,
         "method": exchange.method,
         "scheme": "http",
@@ -56,18 +56,22 @@
 
 
 def _make_receive(exchange: Exchange) -> Callable[[], Awaitable[Event]]:
-    is_whole = False
+    is_body_complete = False
 
     async def receive() -> Event:
-        nonlocal is_whole
-        if is_whole:
+        nonlocal is_body_complete
+        if is_body_complete:
             await exchange.wait_until_client_left()
             return {"type": "http.disconnect"}
         piece = await exchange.read_piece()
         if piece is None:
             return {"type": "http.disconnect"}
-        is_whole = not piece
-        return {"type": "http.request", "body": piece, "more_body": not is_whole}
+        is_body_complete = not piece
+        return {
+            "type": "http.request",
+            "body": piece,
+            "more_body": not is_body_complete,
+        }
 
     return receive
 
@@ -90,18 +94,18 @@
 
     :raises StartError: if it cannot start.
     """
-    tell, told = trio.open_memory_channel[Event](1)
-    answer, answers = trio.open_memory_channel[Event](1)
-    scope = {"type": "lifespan", "asgi": VERSIONS, "state": {}}
+    to_app, from_server = trio.open_memory_channel[Event](1)
+    to_server, from_app = trio.open_memory_channel[Event](1)
+    scope = {"type": "lifespan", "asgi": ASGI_VERSIONS, "state": {}}
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(app, scope, told.receive, answer.send)
-        await tell.send({"type": "lifespan.startup"})
-        started = await answers.receive()
+        nursery.start_soon(app, scope, from_server.receive, to_server.send)
+        await to_app.send({"type": "lifespan.startup"})
+        started = await from_app.receive()
         is_started = started["type"] == "lifespan.startup.complete"
         if is_started:
             yield
-            await tell.send({"type": "lifespan.shutdown"})
-            await answers.receive()
+            await to_app.send({"type": "lifespan.shutdown"})
+            await from_app.receive()
         nursery.cancel_scope.cancel()
     if not is_started:
-        raise StartError(str(started.get("message", "")))
+        raise StartupError(str(started.get("message", "")))
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from ashpond.asgi import StartError, make_handler, run_lifespan
+from ashpond.asgi import StartupError, make_handler, run_lifespan
 from tests.listeners import POST, REQUEST, read_until, run_listener
 
 
@@ -85,7 +85,7 @@
         await receive()
         await send({"type": "lifespan.startup.failed", "message": "no table"})
 
-    with pytest.raises(StartError, match="no table"):
+    with pytest.raises(StartupError, match="no table"):
         async with run_lifespan(app):
             raise AssertionError("it has started")
 
