--- a/ashpond/connections.py
+++ b/ashpond/connections.py
@@ -112,7 +112,7 @@
                     break
         except BaseException:
             # Errors of the handler end in an answer; this is the end of the process.
-            if self._has_call():
+            if self._has_open_request():
                 self._closed_by = CloseReason.GRACE_PERIOD
             raise
         finally:
@@ -121,7 +121,7 @@
     def shut_down(self, grace_ends_at: float) -> None:
         """Close as soon as no request is in hand, and send nothing after the grace."""
         self._is_shutting_down = True
-        self._wire.end_sending_at(grace_ends_at)
+        self._wire.set_send_deadline(grace_ends_at)
         self.apply_limits()
 
     def apply_limits(self) -> None:
@@ -130,9 +130,9 @@
         Clients go by the newest limit, whenever their connection became idle.
         """
         if self._idle_scope is not None:
-            self._idle_scope.deadline = self._find_idle_end()
+            self._idle_scope.deadline = self._compute_idle_deadline()
 
-    def _find_idle_end(self) -> float:
+    def _compute_idle_deadline(self) -> float:
         if self._is_shutting_down:
             return -float("inf")
         return self._idle_since + self._get_limits().idle_timeout
@@ -147,14 +147,14 @@
         if self._wire.has_unread():
             return True
         while True:
-            with trio.CancelScope(deadline=self._find_idle_end()) as scope:
+            with trio.CancelScope(deadline=self._compute_idle_deadline()) as scope:
                 self._idle_scope = scope
                 await self._wire.wait_readable()
             self._idle_scope = None
             if not scope.cancelled_caught or self._wire.is_readable():
                 return True
             # The limit may have grown since it ran out.
-            if trio.current_time() >= self._find_idle_end():
+            if trio.current_time() >= self._compute_idle_deadline():
                 break
         self._closed_by = (
             CloseReason.SHUTDOWN if self._is_shutting_down else CloseReason.IDLE_LIMIT
@@ -175,10 +175,10 @@
         try:
             await self._handle(self._exchange)
         except Exception as error:
-            await self._end_failed(self._exchange, error)
+            await self._handle_failure(self._exchange, error)
             return False
         if not self._exchange.is_finished:
-            await self._end_unanswered(self._exchange)
+            await self._handle_unfinished(self._exchange)
             return False
         self._exchange = None
         return await self._prepare_next()
@@ -189,7 +189,7 @@
     async def _read_head(self) -> h11.Request | None:
         """Return the next request, None if none comes or it is not valid."""
         limits = self._get_limits()
-        self._wire.limit_head(limits.max_header_bytes)
+        self._wire.set_max_header_bytes(limits.max_header_bytes)
         with trio.move_on_after(limits.header_timeout) as scope:
             event = await self._wire.read_event()
         if scope.cancelled_caught:
@@ -214,7 +214,7 @@
         await self._wire.refuse(status)
         await self._linger()
 
-    async def _end_failed(self, exchange: Exchange, error: Exception) -> None:
+    async def _handle_failure(self, exchange: Exchange, error: Exception) -> None:
         self._wire.failure = repr(error)
         self._closed_by = CloseReason.FAILURE
         if exchange.is_finished:
@@ -222,7 +222,7 @@
         elif not self._wire.has_answer_begun():
             await self._refuse(INTERNAL_ERROR, CloseReason.FAILURE)
 
-    async def _end_unanswered(self, exchange: Exchange) -> None:
+    async def _handle_unfinished(self, exchange: Exchange) -> None:
         if self._wire.is_stalled:
             self._closed_by = CloseReason.ANSWER_NOT_TAKEN
         elif exchange.is_refused:
@@ -249,12 +249,12 @@
                     is_ended = not await self._wire.receive()
                 is_ended = is_ended or scope.cancelled_caught
 
-    def _has_call(self) -> bool:
+    def _has_open_request(self) -> bool:
         return self._exchange is not None and not self._exchange.is_finished
 
     def _close(self) -> None:
         exchange = self._exchange
-        if exchange is not None and exchange.would_look_complete():
+        if exchange is not None and exchange.would_close_look_complete():
             self._wire.reset()
         else:
             self._wire.close()
@@ -263,7 +263,7 @@
             self._requests,
             trio.current_time() - self._idle_since,
             self._get_limits().idle_timeout,
-            self._has_call(),
+            self._has_open_request(),
             self._wire.failure,
         )
         self._note_closed(closed)
--- a/ashpond/exchanges.py
+++ b/ashpond/exchanges.py
@@ -17,7 +17,7 @@
     from ashpond.wire import Headers, Wire
 
 REQUEST_TIMEOUT = 408
-OLD_VERSION = "1.0"
+HTTP_1_0 = "1.0"
 NO_BODY_STATUSES = (204, 304)
 
 
@@ -106,7 +106,7 @@
         headers = list(headers)
         if not any(name.lower() == b"date" for name, _ in headers):
             headers.append((b"date", formatdate(usegmt=True).encode()))
-        if self._is_last() or not self._wire.is_request_whole():
+        if self._is_last() or not self._wire.is_request_complete():
             headers.append((b"connection", b"close"))
         self._head = [h11.Response(status_code=status, headers=headers)]
         self._has_body = self.method != "HEAD" and status not in NO_BODY_STATUSES
@@ -124,13 +124,13 @@
     async def abort(self) -> None:
         """Do nothing: once its handler returns, a connection is closed as it is."""
 
-    def would_look_complete(self) -> bool:
+    def would_close_look_complete(self) -> bool:
         """Return whether an end of the connection would pass for the answer's end.
 
         Towards old clients an answer may have no other end than its connection's.
         """
         is_cut = self.is_started and not self.is_finished
-        return is_cut and self.http_version == OLD_VERSION
+        return is_cut and self.http_version == HTTP_1_0
 
     async def _send(self, event: h11.Event) -> None:
         head, self._head = self._head, []
--- a/ashpond/wire.py
+++ b/ashpond/wire.py
@@ -18,12 +18,12 @@
 Headers = list[tuple[bytes, bytes]]
 
 # The socket option that makes a close a reset: on, 0 seconds.
-LINGER_NOT = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 READ_BYTES = 65_536
 WRITE_BYTES = 65_536
 # A client that has not taken a piece of ``WRITE_BYTES`` after so long is taken for gone
 # (seconds): at 6.5 KB a second it still gets its answer.
-SEND_SECONDS = 10.0
+SEND_TIMEOUT_SECONDS = 10.0
 
 
 class Wire:
@@ -40,7 +40,7 @@
         self.failure: str | None = None
         self._stream = stream
         self._sending: trio.CancelScope | None = None
-        self._last_send_at = float("inf")
+        self._send_deadline = float("inf")
         self._max_header_bytes = max_header_bytes
         self._conn = _make_parser(max_header_bytes)
         self._write_lock = trio.Lock()
@@ -62,7 +62,7 @@
         try:
             return bytes(await self._stream.receive_some(READ_BYTES))
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            self._break(f"receiving failed: {error.__cause__!r}")
+            self._mark_broken(f"receiving failed: {error.__cause__!r}")
             return b""
 
     async def read_event(self) -> h11.Event | h11.RemoteProtocolError | None:
@@ -80,8 +80,10 @@
             if event is h11.PAUSED:
                 return None
             if self._awaits_continue():
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await self._send_if(self._awaits_continue, go_on)
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                await self._send_if(self._awaits_continue, continue_response)
             self._conn.receive_data(await self.receive())
 
     def _awaits_continue(self) -> bool:
@@ -131,23 +133,23 @@
     async def _write(self, piece: bytes) -> None:
         if self.is_broken:
             return
-        end = min(trio.current_time() + SEND_SECONDS, self._last_send_at)
+        end = min(trio.current_time() + SEND_TIMEOUT_SECONDS, self._send_deadline)
         with trio.CancelScope(deadline=end) as self._sending:
             try:
                 await self._stream.send_all(piece)
             except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-                self._break(f"sending failed: {error.__cause__!r}")
+                self._mark_broken(f"sending failed: {error.__cause__!r}")
         if self._sending.cancelled_caught:
             self.is_stalled = True
-            self._break("the client takes nothing")
+            self._mark_broken("the client takes nothing")
 
-    def end_sending_at(self, end: float) -> None:
+    def set_send_deadline(self, end: float) -> None:
         """Send nothing after ``end``, on the runtime's clock."""
-        self._last_send_at = end
+        self._send_deadline = end
         if self._sending is not None:
             self._sending.deadline = min(self._sending.deadline, end)
 
-    def _break(self, failure: str) -> None:
+    def _mark_broken(self, failure: str) -> None:
         """Give the connection up; whoever reads it finds its end."""
         self.is_broken = True
         self.failure = self.failure or failure
@@ -165,7 +167,7 @@
         end = h11.EndOfMessage()
         await self._send_if(lambda: not self.has_answer_begun(), response, end)
 
-    def is_request_whole(self) -> bool:
+    def is_request_complete(self) -> bool:
         """Return whether all of the present request has been read."""
         return self._conn.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
@@ -178,7 +180,7 @@
         self._conn.start_next_cycle()
         return True
 
-    def limit_head(self, max_header_bytes: int) -> None:
+    def set_max_header_bytes(self, max_header_bytes: int) -> None:
         """Read the next head with this limit; bytes that have come already are kept."""
         if max_header_bytes == self._max_header_bytes:
             return
@@ -203,7 +205,7 @@
         """Close so that the client sees an error, not an end."""
         with suppress(OSError):
             self._stream.socket.setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT
+                socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
             )
         self._stream.socket.close()
 
