--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -94,7 +94,7 @@
         self._sock.close()
 
 
-class Desk:
+class IngressHarness:
     """The ingress, its clients, and what it has passed on."""
 
     def __init__(self) -> None:
@@ -155,12 +155,12 @@
 
 
 @asynccontextmanager
-async def run_desk() -> AsyncIterator[Desk]:
-    desk = Desk()
+async def run_ingress() -> AsyncIterator[IngressHarness]:
+    harness = IngressHarness()
     async with trio.open_nursery() as nursery:
-        run = functools.partial(desk.ingress.run, desk.stop.wait, GRACE_SECONDS)
+        run = functools.partial(harness.ingress.run, harness.stop.wait, GRACE_SECONDS)
         await nursery.start(run)
-        yield desk
-        for client in desk.clients:
+        yield harness
+        for client in harness.clients:
             client.close()
         nursery.cancel_scope.cancel()
--- a/tests/listeners.py
+++ b/tests/listeners.py
@@ -35,7 +35,7 @@
     await exchange.finish()
 
 
-class Running:
+class RunningListener:
     def __init__(self) -> None:
         self.address = f"127.0.0.1:{find_free_port()}"
         self.stop = trio.Event()
@@ -84,8 +84,8 @@
 @asynccontextmanager
 async def run_listener(
     handle: Callable[[Exchange], Awaitable[None]] = echo,
-) -> AsyncIterator[Running]:
-    running = Running()
+) -> AsyncIterator[RunningListener]:
+    running = RunningListener()
     listener = Listener(
         {running.address: handle},
         lambda: running.limits,
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -12,11 +12,11 @@
 from ashpond.connections import CloseReason
 from ashpond.exchanges import Exchange
 from ashpond.listener import Listener
-from tests.kept_connections import BODY, run_desk
+from tests.kept_connections import BODY, run_ingress
 from tests.listeners import (
     GRACE_SECONDS,
     REQUEST,
-    Running,
+    RunningListener,
     answer,
     read_all,
     run_listener,
@@ -53,10 +53,10 @@
     A request can arrive after the timeout has woken the connection's task. Without the
     check, 20 of these requests got no answer.
     """
-    async with run_desk() as desk:
-        desk.set_idle_limit(IDLE_SECONDS)
+    async with run_ingress() as harness:
+        harness.set_idle_limit(IDLE_SECONDS)
         for _ in range(12):
-            clients = await desk.open(20)
+            clients = await harness.open(20)
             sending_clients = []
 
             async def send_as_it_expires(
@@ -89,17 +89,17 @@
 
     Otherwise 99 of 240 connections were closed by the old timeout.
     """
-    async with run_desk() as desk:
+    async with run_ingress() as harness:
         for _ in range(12):
-            desk.set_idle_limit(IDLE_SECONDS)
-            clients = await desk.open(20)
+            harness.set_idle_limit(IDLE_SECONDS)
+            clients = await harness.open(20)
             open_before_raise = []
 
             async def raise_timeout(
                 at, clients=clients, open_before_raise=open_before_raise
             ):
                 await trio.sleep_until(at)
-                desk.set_idle_limit(15.0)
+                harness.set_idle_limit(15.0)
                 open_before_raise += [client for client in clients if client.is_open()]
 
             async with trio.open_nursery() as nursery:
@@ -115,14 +115,14 @@
 
 @pytest.mark.parametrize("rest", [b"", b"\r\n", b"POST /x HTTP/1.1\r\n"])
 async def test_request_of_a_disconnected_client_is_not_forwarded(rest):
-    async with run_desk() as desk:
-        clients = await desk.open(20)
+    async with run_ingress() as harness:
+        clients = await harness.open(20)
         for client in clients:
             client.send()
             client.send_bytes(rest)
             client.close()
         await take_steps(2 * STEPS)
-    assert desk.passed_on == set()
+    assert harness.passed_on == set()
 
 
 async def test_answer_that_its_client_does_not_read_is_reported(autojump_clock):
@@ -140,7 +140,7 @@
 
     Shielded writes delayed the shutdown by 132 s at a grace period of 5 s.
     """
-    running = Running()
+    running = RunningListener()
     listener = Listener({running.address: answer_large}, lambda: running.limits)
     ended_at: list[float] = []
 
@@ -196,7 +196,7 @@
             finally:
                 raise RuntimeError("on the way out")
 
-    running = Running()
+    running = RunningListener()
     listener = Listener({running.address: fail}, lambda: running.limits)
     async with trio.open_nursery() as nursery:
         run = functools.partial(listener.run, running.stop.wait, GRACE_SECONDS)
@@ -236,7 +236,7 @@
     autojump_clock, monkeypatch
 ):
     reported: list[tuple[str, str]] = []
-    running = Running()
+    running = RunningListener()
     listener = Listener(
         {running.address: drain_and_answer},
         lambda: running.limits,
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -31,8 +31,8 @@
     BODY,
     SERVER_STEPS,
     Client,
-    Desk,
-    run_desk,
+    IngressHarness,
+    run_ingress,
     take_steps,
 )
 
@@ -45,32 +45,32 @@
 
 
 async def test_a_request_and_the_idle_limit_in_one_step(mock_clock):
-    async with run_desk() as desk:
-        desk.set_idle_limit(IDLE_SECONDS)
+    async with run_ingress() as harness:
+        harness.set_idle_limit(IDLE_SECONDS)
         for _ in range(ROUNDS):
-            clients = await desk.open(CONNECTIONS)
+            clients = await harness.open(CONNECTIONS)
             sent = {client: client.send() for client in clients}
             mock_clock.jump(IDLE_SECONDS)
-            assert await desk.find_lost(sent) == set()
+            assert await harness.find_lost(sent) == set()
 
 
 @pytest.mark.parametrize("steps", range(LEAVING_STEPS))
 async def test_a_request_and_the_close_of_a_leaving_instance(mock_clock, steps):
     for _ in range(ROUNDS):
-        async with run_desk() as desk:
-            clients = await desk.open(CONNECTIONS)
-            desk.stop.set()
+        async with run_ingress() as harness:
+            clients = await harness.open(CONNECTIONS)
+            harness.stop.set()
             await take_steps(steps)
             sent = {client: client.send() for client in clients}
-            assert await desk.find_lost(sent) == set()
+            assert await harness.find_lost(sent) == set()
 
 
 async def test_a_connection_goes_by_a_limit_that_grew_while_it_was_idle(mock_clock):
     """A client that knows the newest limit may use its connection for so long."""
-    async with run_desk() as desk:
-        desk.set_idle_limit(IDLE_SECONDS)
-        (client,) = await desk.open(1)
-        desk.set_idle_limit(15.0)
+    async with run_ingress() as harness:
+        harness.set_idle_limit(IDLE_SECONDS)
+        (client,) = await harness.open(1)
+        harness.set_idle_limit(15.0)
         mock_clock.jump(IDLE_SECONDS)
         await take_steps(20)
         mock_clock.jump(10.0)
@@ -79,9 +79,9 @@
 
 
 async def test_a_connection_goes_by_a_limit_that_shrank_while_it_was_idle(mock_clock):
-    async with run_desk() as desk:
-        (client,) = await desk.open(1)
-        desk.set_idle_limit(IDLE_SECONDS)
+    async with run_ingress() as harness:
+        (client,) = await harness.open(1)
+        harness.set_idle_limit(IDLE_SECONDS)
         mock_clock.jump(IDLE_SECONDS)
         await take_steps(SERVER_STEPS)
         assert not client.is_open()
@@ -113,8 +113,13 @@
 class Play:
     """Carries out actions; nothing but ``steps`` gives the event loop a turn."""
 
-    def __init__(self, desk: Desk, clock: trio.testing.MockClock, opened: list[Client]):
-        self.desk = desk
+    def __init__(
+        self,
+        harness: IngressHarness,
+        clock: trio.testing.MockClock,
+        opened: list[Client],
+    ):
+        self.harness = harness
         self.clock = clock
         self.clients = opened
         self.left: set[Client] = set()
@@ -126,11 +131,11 @@
         if action.kind == "jump":
             self.clock.jump(action.amount)
         elif action.kind == "limit":
-            self.desk.set_idle_limit(action.amount)
+            self.harness.set_idle_limit(action.amount)
         elif action.kind == "steps":
             await take_steps(int(action.amount))
         elif action.kind == "stop":
-            self.desk.stop.set()
+            self.harness.stop.set()
         elif client not in self.left:
             self.act(client, action.kind)
 
@@ -156,7 +161,7 @@
         for client in self.clients:
             if client in self.left:
                 continue
-            taken = [r for r in self.sent[client] if r in self.desk.passed_on]
+            taken = [r for r in self.sent[client] if r in self.harness.passed_on]
             if client.read_now().count(b"HTTP/1.1 200") < len(taken):
                 lost.update(taken)
         return lost
@@ -170,8 +175,8 @@
 @example(plan=[Action("stop"), Action("steps", amount=5), Action("send", 2)])
 def test_whatever_ends_a_connection_what_was_taken_up_is_answered(plan):
     async def play(clock: trio.testing.MockClock) -> set[str]:
-        async with run_desk() as desk:
-            playing = Play(desk, clock, await desk.open(3))
+        async with run_ingress() as harness:
+            playing = Play(harness, clock, await harness.open(3))
             for action in plan:
                 await playing.do(action)
             return await playing.find_lost()
