--- a/ashpond/asgi.py
+++ b/ashpond/asgi.py
@@ -1,4 +1,4 @@
-"""Serve an ASGI application on connections that this program owns."""
+"""Serve an ASGI application through :class:`ashpond.listener.Listener`."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class StartupError(AshpondError):
-    """The application says that it cannot start."""
+    """The application has reported that its startup failed."""
 
 
 def make_handler(app: Any) -> Callable[[Exchange], Awaitable[None]]:
-    """Return a handler of exchanges that asks ``app``."""
+    """Return a handler that passes each exchange to ``app`` as an ASGI HTTP scope."""
 
     async def handle(exchange: Exchange) -> None:
         scope = _build_scope(exchange)
@@ -90,9 +90,9 @@
 
 @asynccontextmanager
 async def run_lifespan(app: Any) -> AsyncIterator[None]:
-    """Start ``app``, and have it shut down at the end.
+    """Send ``app`` the lifespan startup event, and the shutdown event on exit.
 
-    :raises StartError: if it cannot start.
+    :raises StartupError: if the application reports that its startup failed.
     """
     to_app, from_server = trio.open_memory_channel[Event](1)
     to_server, from_app = trio.open_memory_channel[Event](1)
--- a/ashpond/connections.py
+++ b/ashpond/connections.py
@@ -1,9 +1,9 @@
 """One HTTP/1.1 connection of a client, read, answered and closed by one task.
 
-A connection has one owner. The task that reads it also keeps its idle limit, and it
-closes only after a last look at the socket, with nothing awaited in between. Were the
-limit kept by a task of its own, that one could close a connection whose request the
-reader has just taken up: in one step of the event loop both are ready.
+The task that reads the connection also enforces its idle limit. Before it closes an
+idle connection it checks the socket once more, with no await in between. A separate
+timer task could close a connection whose request the reader has just accepted, because
+both tasks may become ready in the same step of the event loop.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 HEADERS_TOO_LARGE = 431
 INTERNAL_ERROR = 500
 NOT_IMPLEMENTED = 501
-# A method that would turn the connection into a tunnel.
+# This method would turn the connection into a tunnel, which is not supported.
 TUNNEL_METHOD = b"CONNECT"
-# After its last answer a connection is read on until the client has closed it, or has
-# sent nothing for so long (seconds): bytes that are left unread would reset it, and
-# with it the answer.
+# After the last answer the connection is read until the client closes it or has sent
+# nothing for this long (seconds). Closing a socket with unread bytes resets the
+# connection, and the client could lose the answer.
 LINGER_SECONDS = 1.0
-# However much comes, it is not read for longer than this (seconds).
+# Upper limit of that reading, however much the client sends (seconds).
 MAX_LINGER_SECONDS = 10.0
 
 
 class ConnectionLimits(NamedTuple):
-    """What a client may send, in bytes, and how long it may take, in seconds."""
+    """Limits of a request head (bytes) and of the waiting for a client (seconds)."""
 
     max_header_bytes: int
     header_timeout: float
@@ -45,7 +45,7 @@
 
 
 class CloseReason(StrEnum):
-    """Who ended a connection, or why this side did."""
+    """Why a connection was closed, and by which side."""
 
     CLIENT = "client"
     IDLE_LIMIT = "idle_limit"
@@ -60,11 +60,11 @@
 
 
 class ClosedConnection(NamedTuple):
-    """The end of a connection.
+    """How a connection ended, for the log.
 
-    ``idle`` is the time since its last answer, or since it was accepted, and
-    ``idle_limit`` the limit in force (seconds). ``has_call`` tells that a request had
-    been read and not answered to its end.
+    ``idle`` is the time since the last answer, or since the connection was accepted,
+    and ``idle_limit`` the limit in force (seconds). ``has_call`` is true if a request
+    had been read but not completely answered.
     """
 
     by: CloseReason
@@ -76,11 +76,13 @@
 
 
 class Connection:
-    """A connection, from its accepting to its close.
+    """An accepted connection, served until it is closed.
 
-    :param handle: serves one request; an error that it raises ends the connection.
-    :param is_leaving: whether an answer should be the last one of its connection.
-    :param note_closed: is told how the connection has ended.
+    :param handle: serves one request; an exception that it raises is answered with
+        500, if possible, and closes the connection.
+    :param is_leaving: returns whether this instance is leaving; an answer then is the
+        last one of its connection.
+    :param note_closed: called once, when the connection has been closed.
     """
 
     def __init__(
@@ -105,13 +107,14 @@
         self._closed_by = CloseReason.CLIENT
 
     async def run(self) -> None:
-        """Serve requests, one after the other, until the connection has to end."""
+        """Serve requests, one after the other, until the connection is closed."""
         try:
             while await self._wait_for_request():
                 if not await self._serve_request():
                     break
         except BaseException:
-            # Errors of the handler end in an answer; this is the end of the process.
+            # Exceptions of the handler are handled in _serve_request, so this is a
+            # cancellation at the end of the grace period.
             if self._has_open_request():
                 self._closed_by = CloseReason.GRACE_PERIOD
             raise
@@ -119,15 +122,19 @@
             self._close()
 
     def shut_down(self, grace_ends_at: float) -> None:
-        """Close as soon as no request is in hand, and send nothing after the grace."""
+        """Close once no request is being served; stop sending at ``grace_ends_at``.
+
+        :param grace_ends_at: end of the grace period, in trio's time.
+        """
         self._is_shutting_down = True
         self._wire.set_send_deadline(grace_ends_at)
         self.apply_limits()
 
     def apply_limits(self) -> None:
-        """Go by the limits now in force, also if the connection is idle already.
+        """Apply the current idle limit to a connection that is idle already.
 
-        Clients go by the newest limit, whenever their connection became idle.
+        Clients reuse a connection by the newest limit that they know, also if it
+        became idle under an older one.
         """
         if self._idle_scope is not None:
             self._idle_scope.deadline = self._compute_idle_deadline()
@@ -138,10 +145,10 @@
         return self._idle_since + self._get_limits().idle_timeout
 
     async def _wait_for_request(self) -> bool:
-        """Return whether there is something to read; if not, it is time to close.
+        """Return whether there is something to read; otherwise the caller closes.
 
-        The limit only wakes this task. Whether anything has come is seen at the
-        socket, since the limit may run out in the step in which a request arrives.
+        The idle deadline only wakes this task. The socket decides, because the
+        deadline may pass in the same step of the event loop in which a request arrives.
         """
         self._idle_since = trio.current_time()
         if self._wire.has_unread():
@@ -153,7 +160,7 @@
             self._idle_scope = None
             if not scope.cancelled_caught or self._wire.is_readable():
                 return True
-            # The limit may have grown since it ran out.
+            # The limit may have been raised after this deadline was set.
             if trio.current_time() >= self._compute_idle_deadline():
                 break
         self._closed_by = (
@@ -162,7 +169,7 @@
         return False
 
     async def _serve_request(self) -> bool:
-        """Serve one request; return whether the connection may carry another."""
+        """Serve one request; return whether the connection stays open for another."""
         idle = trio.current_time() - self._idle_since
         request = await self._read_head()
         if request is None:
@@ -187,7 +194,7 @@
         return self._is_shutting_down or self._is_leaving()
 
     async def _read_head(self) -> h11.Request | None:
-        """Return the next request, None if none comes or it is not valid."""
+        """Return the next request; None if there is none or it has been refused."""
         limits = self._get_limits()
         self._wire.set_max_header_bytes(limits.max_header_bytes)
         with trio.move_on_after(limits.header_timeout) as scope:
@@ -270,6 +277,6 @@
 
 
 def _measure_head(request: h11.Request) -> int:
-    """Return the size of a request's head in bytes, but for its separators."""
+    """Return the size of a request's head in bytes, without its separators."""
     fields = sum(len(name) + len(value) for name, value in request.headers)
     return len(request.method) + len(request.target) + fields
--- a/ashpond/exchanges.py
+++ b/ashpond/exchanges.py
@@ -1,4 +1,4 @@
-"""One request of a client's connection and its answer."""
+"""A single request on a client's connection, and its answer."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 class Exchange:
     """A request whose head has been read, and its answer.
 
-    ``is_started`` tells that any of the answer has been written or is being written.
-    ``idle_before`` is how long its connection had been idle (seconds), None for the
-    first request. ``is_finished`` tells that the whole answer has been written.
-    ``is_refused`` tells that the body was not valid or did not come in time.
+    ``idle_before`` is how long the connection had been idle before the request
+    (seconds), None for its first request. ``is_started`` is true once writing the
+    answer has begun, ``is_finished`` once all of it has been written. ``is_refused`` is
+    true if the body was invalid or did not arrive in time, ``has_client_left`` once the
+    client has closed the connection.
     """
 
     def __init__(
@@ -56,13 +57,13 @@
     async def read_piece(self) -> bytes | None:
         """Return the next piece of the body, empty at its end.
 
-        None if there will be no end: the client has left, sends what is no body or
-        takes longer than its connection may idle.
+        Return None if the body cannot be completed: the client has left, has sent an
+        invalid body, or has sent nothing for the idle limit of its connection.
         """
         with trio.move_on_after(self._limits.idle_timeout) as scope:
             event = await self._wire.read_event()
         if scope.cancelled_caught:
-            await self._refuse(REQUEST_TIMEOUT, "the body does not come")
+            await self._refuse(REQUEST_TIMEOUT, "timed out waiting for the body")
             return None
         if isinstance(event, h11.Data):
             return bytes(event.data)
@@ -80,10 +81,10 @@
         await self._wire.refuse(status)
 
     async def check_client_left(self) -> bool:
-        """Return whether the client has left by now; wait for nothing.
+        """Return whether the client has left, without waiting.
 
-        A client that sends nothing more but still reads cannot be told from one that
-        has left, and is taken for it.
+        A client that has only closed its sending side looks the same as one that has
+        left, and counts as such.
         """
         while not self.has_client_left and self._wire.is_readable():
             if not self._wire.can_read_ahead():
@@ -92,17 +93,17 @@
         return self.has_client_left
 
     async def wait_until_client_left(self) -> None:
-        """Return once the client has ended the connection.
+        """Return once the client has closed the connection.
 
-        One that has sent a whole read of further requests is read no more, and its end
-        is not seen before they are.
+        Bytes of further requests are buffered up to the size of one read. After that
+        nothing more is read, and the close is not seen until those requests are served.
         """
         while await self._wire.read_ahead():
             pass
         self.has_client_left = True
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin the answer; its head is written with its first piece or its end."""
+        """Start the answer; its head is written with its first piece or its end."""
         headers = list(headers)
         if not any(name.lower() == b"date" for name, _ in headers):
             headers.append((b"date", formatdate(usegmt=True).encode()))
@@ -112,22 +113,22 @@
         self._has_body = self.method != "HEAD" and status not in NO_BODY_STATUSES
 
     async def send(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a piece of the answer's body."""
         if data and self._has_body:
             await self._send(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """End the body as complete."""
+        """Complete the answer."""
         await self._send(h11.EndOfMessage())
         self.is_finished = not self._wire.is_broken
 
     async def abort(self) -> None:
-        """Do nothing: once its handler returns, a connection is closed as it is."""
+        """Do nothing: an unfinished answer is cut off when the handler returns."""
 
     def would_close_look_complete(self) -> bool:
-        """Return whether an end of the connection would pass for the answer's end.
+        """Return whether the client would take a close for the end of the answer.
 
-        Towards old clients an answer may have no other end than its connection's.
+        In HTTP/1.0 the end of an answer may be marked only by the connection's close.
         """
         is_cut = self.is_started and not self.is_finished
         return is_cut and self.http_version == HTTP_1_0
--- a/ashpond/listener.py
+++ b/ashpond/listener.py
@@ -1,4 +1,4 @@
-"""Accept connections, and let them end without losing a request."""
+"""Accept connections, and shut them down without losing a request."""
 
 from __future__ import annotations
 
@@ -18,18 +18,20 @@
 Handle = Callable[["Exchange"], Awaitable[None]]
 
 BACKLOG = 1024
-# After an error, mostly for want of descriptors, accepting pauses (seconds).
+# Pause after a failed accept (seconds); the usual cause is a lack of descriptors.
 ACCEPT_PAUSE_SECONDS = 0.1
 
 
 class Listener:
-    """Serves the connections of some addresses, each address by its own handler.
-
-    :param get_limits: the limits in force; after a change :meth:`apply_limits` tells
-        connections that are idle.
-    :param is_leaving: whether answers should end their connections.
-    :param note_closed: is told how a connection has ended.
-    :param note_trouble: is told of an error that nobody else hears of.
+    """A server of connections on several addresses, each with its own handler.
+
+    :param get_limits: returns the limits in force; call :meth:`apply_limits` after a
+        change, so that idle connections follow it.
+    :param is_leaving: returns whether an answer should be the last one of its
+        connection.
+    :param note_closed: called when a connection has been closed.
+    :param note_error: called with the name of a log event and an error that is not
+        raised to any caller.
     """
 
     def __init__(
@@ -54,7 +56,10 @@
         grace_seconds: float,
         task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until ``shutdown`` returns, then let requests in hand be answered."""
+        """Serve until ``shutdown`` returns, then finish the requests in flight.
+
+        :param grace_seconds: time after which unfinished requests are cut off.
+        """
         listeners = [
             (await _listen(address), handle)
             for address, handle in self._handlers.items()
@@ -90,7 +95,7 @@
             connection.shut_down(grace_ends_at)
 
     def apply_limits(self) -> None:
-        """Have idle connections go by the limits now in force."""
+        """Apply the current limits to idle connections."""
         for connection in self._connections:
             connection.apply_limits()
 
@@ -109,12 +114,12 @@
     async def _accept_pending(
         self, listener: trio.SocketListener, handle: Handle, nursery: trio.Nursery
     ) -> None:
-        """Take the connections that clients have made and nobody has accepted.
+        """Accept the connections that wait in the backlog.
 
-        Closing the listener would reset them, with the requests that they carry.
+        Closing the listening socket would reset them, and their requests would be lost.
         """
         while listener.socket.is_readable():
-            # A client that has left meanwhile leaves nothing to accept.
+            # accept() would wait if the client has closed the connection meanwhile.
             with trio.move_on_after(ACCEPT_PAUSE_SECONDS):
                 try:
                     stream = await listener.accept()
@@ -133,7 +138,8 @@
         try:
             await connection.run()
         except* Exception as group:
-            # Of a handler that failed as the grace period ended: no other may suffer.
+            # A handler that fails at the end of the grace period must not cancel the
+            # other connections of the nursery.
             self._note_error("connection_failed", group)
         finally:
             self._connections.discard(connection)
--- a/ashpond/server.py
+++ b/ashpond/server.py
@@ -1,4 +1,4 @@
-"""Run one Quart application on loopback until told to stop."""
+"""Serve one Quart application on one address until shutdown."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 MAX_BODY_BYTES = 64 << 20
 GRACE_SECONDS = 2
-# Clients keep connections for minutes; a head comes in one piece or a few.
+# Clients keep connections open for minutes; a request head arrives in a few packets.
 LIMITS = ConnectionLimits(max_header_bytes=16_384, header_timeout=15, idle_timeout=75)
-# Ends that are a matter of course.
+# Closes for these reasons are logged only if they cut off a request.
 ROUTINE_REASONS = (
     CloseReason.CLIENT,
     CloseReason.IDLE_LIMIT,
@@ -35,7 +35,7 @@
 
 
 def make_app(name: str, max_body_bytes: int = MAX_BODY_BYTES) -> QuartTrio:
-    """Return an application without time limits of its own."""
+    """Return an application without Quart's timeouts of bodies and answers."""
     app = QuartTrio(name)
     app.config["RESPONSE_TIMEOUT"] = None
     app.config["BODY_TIMEOUT"] = None
@@ -45,7 +45,7 @@
 
 
 async def read_body() -> bytes:
-    """Return the whole body of the present request."""
+    """Return the whole body of the current request."""
     return cast("bytes", await request.get_data(cache=False))
 
 
@@ -57,7 +57,10 @@
     graceful_seconds: float = GRACE_SECONDS,
     task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve ``app`` until ``shutdown`` returns, then let answers in flight end."""
+    """Serve ``app`` until ``shutdown`` returns, then finish the requests in flight.
+
+    :param graceful_seconds: time after which unfinished requests are cut off.
+    """
     listener = Listener(
         {address: make_handler(app)},
         lambda: LIMITS,
--- a/ashpond/wire.py
+++ b/ashpond/wire.py
@@ -1,4 +1,4 @@
-"""The bytes of one HTTP/1.1 connection of a client, by ``h11`` on a trio stream."""
+"""Reading and writing of HTTP/1.1 on a client's trio stream, with ``h11``."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# The socket option that makes a close a reset: on, 0 seconds.
+# Value of SO_LINGER that makes a close a reset: enabled, 0 seconds.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 READ_BYTES = 65_536
 WRITE_BYTES = 65_536
-# A client that has not taken a piece of ``WRITE_BYTES`` after so long is taken for gone
-# (seconds): at 6.5 KB a second it still gets its answer.
+# A client that does not take a piece of ``WRITE_BYTES`` within this time (seconds) is
+# assumed to be gone; one that reads 6.5 KB a second still gets its answer.
 SEND_TIMEOUT_SECONDS = 10.0
 
 
 class Wire:
-    """Reads and writes one connection.
+    """The stream of one connection and the state of its HTTP parser.
 
-    Once the client is gone ``is_broken`` is set and nothing is written any more; who
-    reads then finds the end. ``is_stalled`` tells that it took nothing. ``failure``
-    says what went wrong, for the log.
+    ``is_broken`` is true once receiving or sending has failed; then nothing more is
+    written, and readers get the end of the stream. ``is_stalled`` is true if the client
+    did not take the answer in time. ``failure`` describes the first error, for the log.
     """
 
     def __init__(self, stream: trio.SocketStream, max_header_bytes: int):
@@ -46,19 +46,19 @@
         self._write_lock = trio.Lock()
 
     def has_unread(self) -> bool:
-        """Return whether bytes of a next request have been received."""
+        """Return whether bytes of the next request are in the parser's buffer."""
         return bool(self._conn.trailing_data[0])
 
     def is_readable(self) -> bool:
-        """Return whether bytes, or the end, are there to be received."""
+        """Return whether the socket has bytes, or the end of the stream, to receive."""
         return self._stream.socket.is_readable()
 
     async def wait_readable(self) -> None:
-        """Wait until there is something to receive; receive nothing."""
+        """Wait until the socket is readable, without receiving anything."""
         await trio.lowlevel.wait_readable(self._stream.socket)
 
     async def receive(self) -> bytes:
-        """Return the next bytes, empty once the client has ended the connection."""
+        """Return the next bytes, empty once the client has closed the connection."""
         try:
             return bytes(await self._stream.receive_some(READ_BYTES))
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
@@ -66,9 +66,10 @@
             return b""
 
     async def read_event(self) -> h11.Event | h11.RemoteProtocolError | None:
-        """Return the next event, or why the bytes are not valid; None if it waits.
+        """Return the next event of the request, or the error if it is invalid.
 
-        It waits while the present request has not been answered.
+        Return None if the parser is paused: the bytes received belong to the next
+        request, and the current one has not been answered yet.
         """
         while True:
             try:
@@ -90,13 +91,13 @@
         return self._conn.they_are_waiting_for_100_continue
 
     def can_read_ahead(self) -> bool:
-        """Return whether more of what follows the present request may be kept."""
+        """Return whether the buffer has room for bytes of the next request."""
         return len(self._conn.trailing_data[0]) < READ_BYTES
 
     async def read_ahead(self) -> bool:
-        """Keep what comes for the next request; return False at the end.
+        """Buffer bytes of the next request; return False at the end of the stream.
 
-        Bytes are taken up to the size of one read; then this waits for good.
+        Once the buffer holds the size of one read, wait until cancelled.
         """
         if not self.can_read_ahead():
             await trio.sleep_forever()
@@ -107,19 +108,20 @@
     async def send(self, *events: h11.Event) -> None:
         """Write events of an answer.
 
-        :raises h11.LocalProtocolError: if the events make no valid answer.
+        :raises h11.LocalProtocolError: if the events are not valid at this point.
         """
         await self._send_if(lambda: True, *events)
 
     async def _send_if(self, is_due: Callable[[], bool], *events: h11.Event) -> None:
-        """Write events, unless they are not due any more once it is their turn.
+        """Write events if ``is_due`` still holds once the write lock is acquired.
 
-        Locked: one task may answer while another still reads and tells the client to
-        go on with its body. Shielded: an answer that is ready is delivered, also if the
-        call's deadline passes in the step in which it came.
+        The lock is needed because one task may answer while another still reads the
+        body and sends ``100 Continue``. The write is shielded from cancellation, so
+        that an answer is delivered also if the call's deadline passes in the same step
+        of the event loop.
         """
         if self.is_broken:
-            # A handler that goes on writing must not miss its cancellation.
+            # A handler that keeps writing must still notice its cancellation.
             await trio.lowlevel.checkpoint()
             return
         with trio.CancelScope(shield=True):
@@ -141,38 +143,38 @@
                 self._mark_broken(f"sending failed: {error.__cause__!r}")
         if self._sending.cancelled_caught:
             self.is_stalled = True
-            self._mark_broken("the client takes nothing")
+            self._mark_broken("sending timed out")
 
     def set_send_deadline(self, end: float) -> None:
-        """Send nothing after ``end``, on the runtime's clock."""
+        """Stop sending at ``end``, in trio's time."""
         self._send_deadline = end
         if self._sending is not None:
             self._sending.deadline = min(self._sending.deadline, end)
 
     def _mark_broken(self, failure: str) -> None:
-        """Give the connection up; whoever reads it finds its end."""
+        """Shut the socket down, so that readers get the end of the stream."""
         self.is_broken = True
         self.failure = self.failure or failure
         with suppress(OSError):
             self._stream.socket.shutdown(socket.SHUT_RDWR)
 
     def has_answer_begun(self) -> bool:
-        """Return whether any of an answer to the present request has been written."""
+        """Return whether writing an answer to the current request has begun."""
         return self._conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
 
     async def refuse(self, status: int) -> None:
-        """Answer that a request is not valid, unless an answer has begun."""
+        """Answer with an error status and an empty body, unless an answer has begun."""
         headers = [(b"content-length", b"0"), (b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers)
         end = h11.EndOfMessage()
         await self._send_if(lambda: not self.has_answer_begun(), response, end)
 
     def is_request_complete(self) -> bool:
-        """Return whether all of the present request has been read."""
+        """Return whether the current request has been read completely."""
         return self._conn.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
     def start_next_cycle(self) -> bool:
-        """Return whether another request may follow the one that was answered."""
+        """Prepare for the next request; return whether the connection can carry one."""
         if self._conn.our_state is not h11.DONE:
             return False
         if self._conn.their_state is not h11.DONE:
@@ -181,7 +183,7 @@
         return True
 
     def set_max_header_bytes(self, max_header_bytes: int) -> None:
-        """Read the next head with this limit; bytes that have come already are kept."""
+        """Set the limit for the next request head; bytes received already are kept."""
         if max_header_bytes == self._max_header_bytes:
             return
         rest, is_ended = self._conn.trailing_data
@@ -193,16 +195,16 @@
             self._conn.receive_data(b"")
 
     async def finish_sending(self) -> None:
-        """Tell the client that nothing more comes."""
+        """Close the sending side of the connection."""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self._stream.send_eof()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the socket, without waiting for the client."""
         self._stream.socket.close()
 
     def reset(self) -> None:
-        """Close so that the client sees an error, not an end."""
+        """Reset the connection, so that the client sees an error and not its end."""
         with suppress(OSError):
             self._stream.socket.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
