--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Build test data; every test takes its values from here."""
+"""Build test data that the tests share."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for all tests: the same examples each time, no time limits."""
+"""Settings and fixtures for all tests: reproducible examples, no deadlines."""
 
 from __future__ import annotations
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The queue keeps its capacity, its order and its shares."""
+"""The admission queue respects its capacity, its order and its shares."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Offers, ends, withdrawals and changes of capacity in any order."""
+    """Offers, releases, withdrawals and changes of capacity in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -105,7 +105,7 @@
             assert self.running >= self.queue.capacity or self.start_pending()
 
     def start_pending(self) -> bool:
-        # A withdrawal frees no place, so only a resize can leave one to start.
+        # A withdrawal frees no slot; only a resize can leave a free slot unused.
         before = self.queue.running
         self.start()
         return self.queue.running > before
@@ -175,7 +175,7 @@
 
 
 def test_idle_time_does_not_count_in_the_release_interval():
-    """Failed first: the gap between two bursts was taken for one slow release."""
+    """Guards against counting the gap between two bursts as one slow release."""
     queue = AdmissionQueue(PRIORITIES, max_waiting=1000)
     fill(queue, 1)
     for number in range(3):
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -1,4 +1,4 @@
-"""Allowances: what any window may hold, when and to whom a team's limit is refused."""
+"""Allowances: accrual, the bound of each window, denials and retry times."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def fill(ledger: Ledger, begin: float, end: float) -> None:
-    """Hand a ledger all of a fleet's time, a tenth of a second at once."""
+    """Credit a ledger with all of a fleet's time, in steps of a tenth of a second."""
     for step in range(round(begin * 10), round(end * 10)):
         ledger.receive(TimeSpan(step / 10, (step + 1) / 10), 1.0, (step + 1) / 10)
 
@@ -176,7 +176,7 @@
 
 
 def test_short_requests_do_not_starve_long_ones() -> None:
-    """Of three times the limit, long and short requests get about the same share."""
+    """At three times the limit, long requests get over half the share of short ones."""
     ledger = Ledger()
     rng = random.Random(1)
     fill(ledger, 0.0, 60.0)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most one run for one key, under any order of steps, losses and kills."""
+"""At most one run per idempotency key, under any order of steps, losses and crashes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Store:
-    """One row with a version; writes are conditional and may land late."""
+    """One row with a version; writes are conditional and may take effect late."""
 
     def __init__(self) -> None:
         self.row: ClaimRow | None = None
@@ -52,7 +52,7 @@
 
 
 class ClaimAttempt:
-    """One attempt on one instance, between two of its steps."""
+    """One attempt on one instance, and its next step."""
 
     def __init__(self, owner: str, incarnation: int, registry: AttemptRegistry):
         self.owner = owner
@@ -65,7 +65,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Interleaves callers' repeats, instances, the store and the server."""
+    """Interleaves clients' retries, instances, the store and the server."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -86,7 +86,7 @@
     @precondition(lambda self: self.attempts)
     @rule(number=pick, outcome_kind=st.sampled_from(WRITE_OUTCOMES))
     def advance(self, number: int, outcome_kind: str) -> None:
-        """Let one attempt take its next step, whichever that is."""
+        """Let one attempt take its next step."""
         current = self.attempts[number % len(self.attempts)]
         if isinstance(current.step, InsertClaim | ReplaceClaim):
             self.write(current, outcome_kind)
@@ -139,7 +139,7 @@
             self.attempts.remove(current)
 
     def send(self, current: ClaimAttempt, *, runs: bool) -> None:
-        """Send an attempt; the server may say that it did not run."""
+        """Send an attempt; the server may report that it did not run."""
         if not self.registries[current.owner].mark_sent(current.name):
             self.attempts.remove(current)
             return
@@ -148,7 +148,7 @@
         self.runs += runs
 
     def finish_or_release(self, current: ClaimAttempt, outcome_kind: str) -> None:
-        """Finish or release a sent attempt, as the controller does."""
+        """Finish or release the claim of a sent attempt, as the controller does."""
         registry = self.registries[current.owner]
         row = current.protocol.own._replace(
             finished=current.ran, released=not current.ran
@@ -176,7 +176,7 @@
 
 
 def removes_early() -> bool:
-    """Whether an attempt is forgotten before its row says that it ran."""
+    """Return whether an attempt is removed before its row records that it ran."""
     return False
 
 
--- a/tests/test_fleetlinks.py
+++ b/tests/test_fleetlinks.py
@@ -1,4 +1,4 @@
-"""Whom each instance of a fleet tells its news."""
+"""The peers that each instance of a fleet sends its updates to."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 
 def test_hubs_have_high_bandwidth() -> None:
-    """On a scale day hubs with 5 Mbit/s were choked by their own news."""
+    """Guards against hubs on links of 5 Mbit/s, which their own updates saturated."""
     members = make_members(78)
     high = [f"i{n}" for n in range(0, 78, 10)]
     members |= {n: members[n]._replace(link_mbps=200.0) for n in high}
@@ -93,7 +93,11 @@
 
 
 def test_each_group_has_a_member_with_high_bandwidth() -> None:
-    """Two wide instances fell into one group: the other's members heard 2 s late."""
+    """Guards against a group without a link of high bandwidth.
+
+    If both such instances of a domain are in one group, members of the other group
+    receive updates 2 s late.
+    """
     members = {}
     for domain in ("north", "south", "east", "west"):
         for number in range(22):
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -1,4 +1,4 @@
-"""Accepted means in force, and never back: races, losses, restarts."""
+"""An accepted generation is in force and never reverts, despite races and losses."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class GenerationMachine(RuleBasedStateMachine):
-    """Operators race; instances adopt from the store and from one another."""
+    """Operators race; instances adopt from the store and from each other."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""One holder gives orders, with pauses, drifting clocks and lost answers."""
+"""Only one holder sends orders, despite pauses, clock drift and lost answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ashpond.outcomes import Conflict, Done, Unknown
 from tests.mutants import Mutant, expect_caught
 
-# Rates of the holders' clocks; all are within what the margin allows for.
+# Rates of the holders' clocks; the margin allows for all of them.
 CLOCK_RATES = (0.95, 1.0, 1.05)
 DELIVERY_SECONDS = 1.0
 STEP_SECONDS = st.sampled_from([0.2, 0.5, 1.0, 2.0])
@@ -27,7 +27,7 @@
 
 
 class PendingWrite(NamedTuple):
-    """A write on its way: ``sent_at`` is on the holder's own clock."""
+    """A write in transit; ``sent_at`` is on the holder's own clock."""
 
     holder: int
     write: LeaseWrite
@@ -35,7 +35,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three instances contend; the engine ignores fencing numbers."""
+    """Three instances contend for a lease; the engine ignores fencing numbers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,14 +54,14 @@
     @rule(seconds=STEP_SECONDS)
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
-        # No order takes longer than the bound that the lease reckons with.
+        # No order takes longer than the delivery bound of the lease.
         oldest = self.now - DELIVERY_SECONDS
         while self.orders and self.orders[0].sent_at <= oldest:
             self.deliver()
 
     @rule(holder=st.sampled_from([0, 1, 2]))
     def renew_or_contend(self, holder: int) -> None:
-        """Read the row and send the write that is due, if any."""
+        """Read the row, and send the write that is due, if any."""
         if any(entry.holder == holder for entry in self.waiting):
             return
         lease = self.holders[holder]
@@ -72,7 +72,7 @@
 
     @rule(holder=st.sampled_from([0, 1, 2]))
     def renew_or_contend_at_once(self, holder: int) -> None:
-        """Read, write and hear at once, as on most days."""
+        """Read, write and receive the answer at once, the usual case."""
         self.renew_or_contend(holder)
         if self.waiting and self.waiting[-1].holder == holder:
             self.complete_write(len(self.waiting) - 1, "done")
