--- a/ashpond/application.py
+++ b/ashpond/application.py
@@ -1,4 +1,4 @@
-"""Put one instance together, run it, and let it end without cutting a call."""
+"""Assemble and run one instance; on shutdown, drain its calls."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class Application:
-    """One instance: its controllers, its filter chain and its servers."""
+    """One instance: its controllers, filter chain and HTTP servers."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
@@ -118,7 +118,7 @@
         self.members.on_fact(self._queue_newer_generation)
 
     async def run(self) -> None:
-        """Serve until SIGINT or SIGTERM, then end every call in flight."""
+        """Serve until SIGINT or SIGTERM, then finish the calls in flight."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.peers.run)
             for controller in self._list_controllers():
@@ -210,7 +210,7 @@
                 self.start_draining()
 
     def start_draining(self) -> None:
-        """Tell everyone that this instance leaves."""
+        """Start to leave: report it to the clients' balancer and to all peers."""
         if self._draining.is_set():
             return
         logger.notice("draining")
@@ -222,8 +222,8 @@
     async def _wait_for_drain(self) -> None:
         """Return once new connections may be refused.
 
-        The balancer needs a moment to see that this instance is not ready;
-        until then it sends calls, and they are answered.
+        The load balancer needs some time to see that this instance is not ready.
+        Calls that it sends until then are still answered.
         """
         await self._draining.wait()
         await trio.sleep(self.settings.timing.drain_notice)
@@ -234,7 +234,7 @@
             try:
                 self._fact_sender.send_nowait(fact)
             except trio.WouldBlock:
-                # The next fact of that origin says the same.
+                # The channel is full. The next fact of that peer holds it as well.
                 return
 
     async def _fetch_configurations(self) -> None:
@@ -251,7 +251,7 @@
                 await self.configuration.refresh()
 
     async def _fetch_views(self) -> None:
-        """Ask one peer for the learned cache views, once after the start."""
+        """Fetch the cache views that a peer has learned, once after the start."""
         await self.configuration.ready.wait()
         while not self.members.list_live():
             await trio.sleep(PEER_POLL_SECONDS)
--- a/ashpond/call.py
+++ b/ashpond/call.py
@@ -1,4 +1,4 @@
-"""The request value that filters pass on, and the reply that comes back."""
+"""A client's request as the filter chain handles it, and its reply."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CallKind(StrEnum):
-    """Which caller API a request came in by."""
+    """The API of ashpond through which a request arrived."""
 
     CHAT = "chat"
     TEXT = "text"
@@ -24,9 +24,11 @@
 
 
 class Progress:
-    """What has become of a call so far, for accounts and limits.
+    """The state of a call so far, read by accounting, limits and quarantine.
 
-    ``is_whole`` tells that a stream has come to its end event.
+    ``first_token_at`` is in seconds of the runtime's clock. ``is_whole`` is set once a
+    stream has passed on its end event. ``run`` is what is known of the call's effect
+    at the backend server.
     """
 
     def __init__(self) -> None:
@@ -39,13 +41,13 @@
 
 
 class Call(NamedTuple):
-    """One caller's request; each filter adds what it finds out.
+    """A client's request; each filter passes on a copy with more fields set.
 
     ``arrived`` and ``deadline`` are in seconds of the runtime's clock.
-    ``exits`` is closed once the whole answer has been handed to the caller.
-    ``resumable`` keeps a stream at its engine when the caller is gone.
-    ``level_ends`` are offsets in ``prompt`` where its shared levels end.
-    ``is_suspected`` tells that the call may end the server that runs it.
+    ``exits`` is closed once the whole response has been sent to the client.
+    ``resumable`` means that the engine keeps the stream when the client disconnects.
+    ``level_ends`` are the character offsets in ``prompt`` at which its shared levels
+    end. ``is_suspected`` means that the call may crash the server that runs it.
     """
 
     kind: CallKind
@@ -77,7 +79,7 @@
 
 
 class Reply(NamedTuple):
-    """The answer to a call: whole bytes, or a stream of chunks."""
+    """The HTTP response to a call; the body is complete or a stream of chunks."""
 
     status: int
     headers: dict[str, str]
@@ -89,7 +91,7 @@
 
 
 def build_chain(filters: list[Filter], last: Handler) -> Handler:
-    """Return one handler that runs ``filters`` in order and ends in ``last``."""
+    """Return a handler that runs ``filters`` in order and then calls ``last``."""
     handler = last
     for step in reversed(filters):
         handler = _bind(step, handler)
--- a/ashpond/configuration.py
+++ b/ashpond/configuration.py
@@ -1,4 +1,4 @@
-"""What operators declare: priorities, teams, services, backend servers.
+"""The declared configuration: priorities, teams, services, backend servers.
 
 The declaration is a set of named TOML files. Each table entry lives in exactly
 one file; references may cross files and are checked over the whole set.
@@ -34,10 +34,10 @@
 
 
 class PriorityConfig(NamedTuple):
-    """One class of urgency; a lower ``rank`` goes first.
+    """A priority class; requests of a lower ``rank`` are served first.
 
-    ``min_share`` is the share of service time that the class keeps when more
-    urgent work would fill everything.
+    ``min_share`` is the share of service time that the class keeps even if more
+    urgent requests could use all of it.
     """
 
     rank: Annotated[int, Field(ge=0, le=99)]
@@ -45,10 +45,10 @@
 
 
 class TeamConfig(NamedTuple):
-    """A team of callers and what it may use.
+    """A team of clients, with its limits and the services that it may use.
 
     ``key_hashes`` are SHA-256 digests of its bearer keys, in hexadecimal.
-    ``requests_per_second`` holds over all instances; 0 means no limit.
+    ``requests_per_second`` counts over all instances; 0 means no limit.
     """
 
     key_hashes: Annotated[list[KeyHash], Field(min_length=1)]
@@ -76,9 +76,9 @@
 class ServiceConfig(NamedTuple):
     """A model service or a plain service.
 
-    ``deadline_seconds`` bounds the wait until work starts, unless the caller
-    asks for less. ``exact_resume`` says that any engine continues a stream of
-    this service exactly from an event number.
+    ``deadline_seconds`` bounds the wait until a request starts, unless the client
+    asks for less. ``exact_resume`` means that any engine can continue a stream of
+    this service from a given event number with exactly the same events.
     """
 
     kind: Literal["model", "plain"]
@@ -98,9 +98,9 @@
 class BackendServerConfig(NamedTuple):
     """One engine or plain server that takes requests of a service.
 
-    A ``standby`` server gets no requests. ``checks_fencing`` tells operators
-    whether it refuses orders with an old fencing number; the lease is kept so
-    that servers which do not are safe as well.
+    A ``standby`` server gets no requests. ``checks_fencing`` informs operators
+    whether the server refuses orders with an old fencing number. Orders are also
+    protected by a lease, which covers the servers that do not check.
     """
 
     service: Name
@@ -118,7 +118,7 @@
 
 
 class Configuration(NamedTuple):
-    """The whole declaration in force, read-only."""
+    """The merged and checked contents of all files."""
 
     priorities: dict[str, PriorityConfig]
     teams: dict[str, TeamConfig]
@@ -132,12 +132,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the digest under which a bearer key is declared."""
+    """Return the SHA-256 digest by which a bearer key is declared."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def digest_text(text: str) -> str:
-    """Return the digest that names a file's contents."""
+    """Return the SHA-256 digest that identifies a file's contents."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
--- a/ashpond/lossreport.py
+++ b/ashpond/lossreport.py
@@ -1,4 +1,4 @@
-"""Say from decision logs which requests were late or lost, when, and why."""
+"""Report from decision logs which requests were late or lost, when, and why."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 from ashpond.decisions.selection import parse_candidate, parse_demand
 
 Line = dict[str, Any]
-# Losses are counted by spans of the logs' time (seconds).
+# Losses are counted in time spans of this length (seconds of the logs' time).
 SPAN_SECONDS = 2.0
-# A wait before the last send is the cause from this share of the objective on.
+# The wait before the last attempt is the cause of a late answer if it took more than
+# this share of the objective.
 MIN_WAIT_SHARE = 0.3
 MAX_SHOWN_IDS = 3
 UNKNOWN_KEY = 401
@@ -22,10 +23,11 @@
 
 
 class Cause(StrEnum):
-    """Why a request was not answered in time.
+    """The reason why a request was late or not served.
 
-    A late answer has the largest of its parts as its cause; the router sees no
-    pauses within an answer, only what it passes on.
+    If nothing else explains a late answer, its cause is the largest share of what the
+    engine had to read first. Pauses within an answer are not seen: the router only
+    knows what it passes on.
     """
 
     WAITED_FOR_SLOT = "waited for a place"
@@ -40,7 +42,7 @@
 
 
 class Loss(NamedTuple):
-    """One request that was late or not served; ``at`` is the logs' time (seconds)."""
+    """A request that was late or not served; ``at`` is in seconds of the logs' time."""
 
     id: str
     route: str
@@ -50,7 +52,7 @@
 
 
 class _RequestHistory(NamedTuple):
-    """The lines of one request, in order."""
+    """The lines of one request: its attempts, its last end and its first line."""
 
     sent: list[Line]
     end: Line | None
@@ -58,9 +60,9 @@
 
 
 def find_losses(lines: Iterable[Line]) -> tuple[list[Loss], Counter[str]]:
-    """Return the requests that were late or lost, and how many there were by route.
+    """Return the requests that were late or lost, and the count of all by route.
 
-    Requests that no configuration allows are left out.
+    Requests with an unknown key or route are left out.
     """
     by_id: dict[str, list[Line]] = defaultdict(list)
     for line in lines:
@@ -95,7 +97,7 @@
 
 
 def _find_cause(history: _RequestHistory) -> Cause | None:
-    """Return why a request was late or not served, None if it was in time."""
+    """Return why a request was late or not served, None if it was on time."""
     end = history.end
     if end is None:
         return Cause.NO_END_RECORDED
@@ -123,7 +125,7 @@
 
 
 def _find_reading_cause(sent: Line) -> Cause:
-    """Return the largest part of what the engine had to read before it answered."""
+    """Return the cause with the most tokens that the engine had to read first."""
     demand = parse_demand(sent["demand"])
     candidates = [parse_candidate(fields) for fields in sent["candidates"]]
     chosen = next((c for c in candidates if c.id == sent["server"]), None)
@@ -140,7 +142,7 @@
 
 
 def render_losses(losses: list[Loss], totals: Counter[str]) -> str:
-    """Return tables by cause and route, and by time, with ids to look at."""
+    """Return tables of the losses by route, cause and time span, with sample ids."""
     if not totals:
         return "no requests are recorded"
     lines = [f"{'route':24} {'asked':>7} {'late':>6} {'lost':>6}"]
--- a/ashpond/outcomes.py
+++ b/ashpond/outcomes.py
@@ -1,4 +1,4 @@
-"""The values that decisions and clients return in place of exceptions."""
+"""Expected results of decisions and clients, returned instead of exceptions."""
 
 from __future__ import annotations
 
@@ -28,9 +28,10 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer that is not a result.
+    """An error reply that ashpond itself gives to a request.
 
-    ``retry_after`` is in seconds; ``None`` means that a repeat will not help.
+    ``kind`` is the error type that clients read. ``retry_after`` is in seconds;
+    ``None`` means that a retry would be refused as well.
     """
 
     status: int
@@ -47,22 +48,22 @@
 
 
 class Conflict(NamedTuple):
-    """A condition of the operation did not hold; it had no effect.
+    """A precondition of the operation failed, so it had no effect.
 
-    ``current`` maps each conflicting key to the row that stands there.
+    ``current`` maps each conflicting key to the row that is stored under it.
     """
 
     current: dict[str, Any]
 
 
 class Unavailable(NamedTuple):
-    """The operation certainly had no effect."""
+    """The platform could not be used; the operation certainly had no effect."""
 
     reason: str
 
 
 class Unknown(NamedTuple):
-    """The answer was lost: the operation may have taken effect, now or later."""
+    """The answer was lost: the operation may have taken effect or still do so."""
 
     reason: str
 
@@ -77,10 +78,10 @@
 
 
 class NotRun(NamedTuple):
-    """An attempt had no effect: never sent, or refused by the server itself.
+    """An attempt had no effect: it was not sent, or the server refused it.
 
-    ``unreached`` tells that no connection to the server could be made. ``backoff`` is
-    for how long the server asked for no request, None if it did not (seconds).
+    ``unreached`` means that no connection to the server could be made. ``backoff`` is
+    the time in seconds for which the server asked to get no requests, or None.
     """
 
     reason: str
@@ -89,7 +90,7 @@
 
 
 class MaybeRun(NamedTuple):
-    """Bytes of an attempt left this instance and its result is not known.
+    """An attempt was sent, at least in part, and its result is not known.
 
     ``backoff`` is as in :class:`NotRun`.
     """
--- a/ashpond/runtimeclock.py
+++ b/ashpond/runtimeclock.py
@@ -1,4 +1,4 @@
-"""The runtime's clock, which goes on while the machine is suspended."""
+"""A clock for the runtime that also counts while the machine is suspended."""
 
 from __future__ import annotations
 
@@ -13,38 +13,43 @@
 if TYPE_CHECKING:
     from ashpond.gateway.decisionlog import DecisionLog
 
-# A difference of the two clocks below this is how they are read (seconds).
+# The two clocks are read one after the other, so that a difference below this (seconds)
+# is no suspension.
 MIN_SUSPENSION_SECONDS = 0.05
-# How often it is looked at. On waking, timers that have run out meanwhile run first;
-# an event loop that waits for one looks again within this (seconds).
+# Interval of the checks for a suspension, and the longest wait of the event loop
+# (seconds). After a suspension, expired timers therefore run within this time.
 CHECK_SECONDS = 0.25
 
 
 class SuspendedClock(trio.abc.Clock):
     """Counts the time during which the machine was suspended, as ``CLOCK_BOOTTIME``.
 
-    The steady clock of the runtime stands still then: on waking, keys, leases and
-    peers' words would seem as fresh as before, and requests would have all their time.
+    The default clock, ``CLOCK_MONOTONIC``, stops during a suspension. After it, API
+    keys, leases and the updates of peers would seem as fresh as before, and requests
+    would still have their whole time.
     """
 
     def start_clock(self) -> None:
-        """Begin; there is nothing to prepare."""
+        """Do nothing: the clock of the system needs no start."""
 
     def current_time(self) -> float:
-        """Return the seconds since the machine was started."""
+        """Return the seconds since the machine booted."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return for how long the event loop may wait for a deadline.
+        """Return for how many seconds the event loop may wait for ``deadline``.
 
-        The kernel counts its waits by the steady clock, so that one that has begun
-        before a suspension would end that much too late.
+        The kernel measures waits with the monotonic clock, so a wait that spans a
+        suspension ends too late by its length. Short waits bound that delay.
         """
         return min(CHECK_SECONDS, max(0.0, deadline - self.current_time()))
 
 
 def choose_clock(note: Callable[..., None]) -> trio.abc.Clock | None:
-    """Return the clock for the runtime; None for its own, if there is no better one."""
+    """Return the clock for the runtime, None for the default one.
+
+    :param note: logs an event if the system has no clock that counts suspensions.
+    """
     try:
         time.clock_gettime(time.CLOCK_BOOTTIME)
     except (AttributeError, OSError) as error:
@@ -54,14 +59,14 @@
 
 
 def measure_suspended() -> float:
-    """Return for how long the machine has been suspended since it was started."""
+    """Return for how many seconds the machine has been suspended since it booted."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.monotonic()
 
 
 class SuspensionWatch:
-    """Notices that the machine was suspended, and for how long.
+    """Logs each suspension of the machine with its length.
 
-    :param observe: takes the length of each suspension (seconds).
+    :param observe: is called with the length of each suspension (seconds).
     """
 
     def __init__(
@@ -75,7 +80,7 @@
         self._measure = measure
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         known = self._measure()
         while True:
             await trio.sleep(CHECK_SECONDS)
