--- a/ashpond/addresses.py
+++ b/ashpond/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses that processes listen on: IP numbers with a port."""
+"""Listening addresses of processes: an IP address with a port."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
@@ -23,9 +23,9 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``text`` writes as ``IP:PORT``.
+    """Parse an address of the form ``IP:PORT``.
 
-    :raises ValueError: if the host is not an IP number or the port is no port.
+    :raises ValueError: if the host is not an IP address or the port is invalid.
     """
     host, separator, port = text.rpartition(":")
     host = host.strip("[]")
@@ -34,5 +34,5 @@
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
-        raise ValueError("the host must be an IP number, not a name") from error
+        raise ValueError("the host must be an IP address, not a name") from error
     return Address(host, int(port))
--- a/ashpond/bounds.py
+++ b/ashpond/bounds.py
@@ -1,7 +1,7 @@
-"""Bounds of numbers that come from outside.
+"""Bounds of numbers that are received from other processes.
 
-Counts of a thousand instances are added up, and the sums go into messages and logs,
-which hold 64 bits. No tokens, versions or times in ms come near these bounds.
+Sums over a thousand instances are written to messages and logs as 64-bit integers, and
+must not overflow them. Tokens, versions and times in ms stay far below these bounds.
 """
 
 from __future__ import annotations
--- a/ashpond/burnreport.py
+++ b/ashpond/burnreport.py
@@ -1,4 +1,4 @@
-"""Show the burn report: as a table, as JSON, or as a page of its own."""
+"""Render the burn report as a table, as JSON or as an HTML page."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def render_table(rows: list[Row]) -> str:
-    """Return the rows as a table for the terminal."""
+    """Return the rows as a text table for a terminal."""
     if not rows:
         return "no requests have been counted yet"
     head = f"{'service':16} {'team':12} {'objective':20} {'target':>7}"
@@ -45,7 +45,7 @@
 
 
 def render_html(rows: list[Row]) -> str:
-    """Return a page that needs no other file."""
+    """Return the rows as an HTML page that needs no other file."""
     heads = "".join(f"<th>{label}</th>" for label in LABELS)
     body = "".join(_render_row(row) for row in rows)
     rules = ", ".join(f"{s}+{long} at {rate:g}×" for s, long, rate in PAGE_RULES)
--- a/ashpond/checking.py
+++ b/ashpond/checking.py
@@ -1,4 +1,4 @@
-"""Check values from TOML files against declared types and name each fault."""
+"""Validation of TOML tables against declared types, with a report of each fault."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def check_table(
     name: str, adapter: TypeAdapter, table: dict[str, Any]
 ) -> tuple[Any, list[InputProblem]]:
-    """Check a parsed table; return the typed value and the problems found."""
+    """Check a parsed table; return the typed value, or None, and the problems found."""
     try:
         return adapter.validate_python(table), []
     except ValidationError as error:
--- a/ashpond/errors.py
+++ b/ashpond/errors.py
@@ -1,8 +1,8 @@
-"""The tree of exceptions that ashpond raises.
+"""The hierarchy of exceptions that ashpond raises.
 
-Expected results of work (a refusal, a conflict, a lost answer) are values and
-live in :mod:`ashpond.outcomes`. An exception means bad input from a person or a
-peer; any other one is a broken invariant and stops the process.
+Expected results (a refusal, a conflict, a lost answer) are values, defined in
+:mod:`ashpond.outcomes`. These exceptions mean invalid input from an operator or a
+peer; any other exception is a broken invariant and stops the process.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class InputProblem(NamedTuple):
-    """One fault in a file that a person wrote."""
+    """A fault in a file that an operator wrote."""
 
     file: str
     key: str
@@ -33,11 +33,11 @@
 
 
 class AshpondError(Exception):
-    """Base of every exception that ashpond raises."""
+    """Base class of all exceptions that ashpond raises."""
 
 
 class InputError(AshpondError):
-    """Files written by a person hold faults; nothing of them is used."""
+    """Files written by an operator have faults; none of their contents is used."""
 
     def __init__(self, problems: list[InputProblem]):
         self.problems = problems
@@ -45,11 +45,11 @@
 
 
 class SettingsError(InputError):
-    """The settings file of one instance is not usable."""
+    """The settings file of an instance is invalid."""
 
 
 class ConfigError(InputError):
-    """The declared configuration is not usable."""
+    """The declared configuration is invalid."""
 
 
 class FrameError(AshpondError):
--- a/ashpond/identity.py
+++ b/ashpond/identity.py
@@ -1,9 +1,9 @@
-"""Hashes that name prompt prefixes and cached blocks.
+"""Hashes that identify prompt prefixes and cached blocks.
 
 A prompt is cut into blocks of :data:`BLOCK_CHARS` characters. Each block's hash
-covers all text before it and a seed of (team, model, weights version, adapter),
-so equal hashes mean equal prefixes of the same team under the same weights. A
-cache entry is further keyed by the incarnation of the engine that holds it.
+covers its text, all text before it and a seed of (team, model, weights version,
+adapter), so equal hashes mean equal prefixes of the same team under the same weights.
+A cache entry is also keyed by the incarnation of the engine that holds it.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class PrefixSeed(NamedTuple):
-    """What must be equal before two prompts may share cached blocks."""
+    """The values that must be equal for two prompts to share cached blocks."""
 
     team: str
     model: str
@@ -40,10 +40,10 @@
 
 
 class PrefixChain(NamedTuple):
-    """The block hashes of one prompt and where its levels end.
+    """The block hashes of a prompt and the ends of its shared levels.
 
-    ``blocks[i]`` names the first ``i + 1`` blocks. ``levels`` holds counts of
-    blocks, ascending; the last one is the whole prompt.
+    ``blocks[i]`` identifies the first ``i + 1`` blocks. ``levels`` holds the number of
+    blocks up to the end of each level, ascending; the last is the whole prompt.
     """
 
     blocks: tuple[int, ...]
@@ -51,13 +51,13 @@
 
 
 def make_cache_salt(seed: PrefixSeed) -> str:
-    """Return the salt that keeps an engine's cache entries apart."""
+    """Return the salt that separates the cache entries of different seeds."""
     material = msgpack.packb(list(seed))
     return hashlib.blake2b(material, digest_size=16).hexdigest()
 
 
 def chain_blocks(salt: str, text: str) -> tuple[int, ...]:
-    """Return the chained hash of every whole block of ``text``."""
+    """Return the chained hash of each complete block of ``text``."""
     running = hashlib.blake2b(salt.encode(), digest_size=HASH_BYTES)
     blocks = []
     whole = len(text) - len(text) % BLOCK_CHARS
@@ -70,7 +70,7 @@
 def hash_prompt(seed: PrefixSeed, text: str, level_ends: list[int]) -> PrefixChain:
     """Return the prefix chain of ``text``.
 
-    :param level_ends: ends of the prompt's levels as character offsets.
+    :param level_ends: character offsets at which the prompt's shared levels end.
     """
     blocks = chain_blocks(make_cache_salt(seed), text)
     counts = {min(end // BLOCK_CHARS, len(blocks)) for end in level_ends}
@@ -103,5 +103,5 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return a rough count of tokens, good enough to compare prompts by."""
+    """Return an estimated number of tokens, precise enough to compare prompts."""
     return len(text) // CHARS_PER_TOKEN + 1
--- a/ashpond/logs.py
+++ b/ashpond/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by ``logbook``: one JSON object a line, for changes of state."""
+"""Structured logs of state changes by ``logbook``, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def setup_logs(instance: str, level: str) -> None:
-    """Send the log of this process to standard error."""
+    """Write the log of this process to standard error."""
 
     def format_record(record: logbook.LogRecord, handler: Any) -> str:
         line = {
--- a/ashpond/loopdelay.py
+++ b/ashpond/loopdelay.py
@@ -1,4 +1,4 @@
-"""How long the event loop was held up, as a cause of late or lost answers."""
+"""Detection of event loop stalls, a cause of late or lost answers."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A step of the event loop takes a few ms. A stall of this length (seconds) shows
-# in what clients see: a fifth of the tightest objective in use, 125 ms.
+# A step of the event loop takes a few ms. A stall of this length (seconds) is
+# noticeable to clients: it is a fifth of the tightest objective in use, 125 ms.
 MIN_STALL_SECONDS = 0.025
 
 
 class LoopDelay(NamedTuple):
-    """One stall: when it ended on the runtime's clock, its length in seconds."""
+    """A stall: its end on the runtime's clock and its length, both in seconds."""
 
     ended_at: float
     seconds: float
 
 
 class LoopWatch(trio.abc.Instrument):
-    """Measures each step of the event loop, and each wait that ends too late.
+    """Measures the length of each event loop step and how late each wait ends.
 
-    A step that takes long and a process that gets no processor look the same from
-    outside: whatever became ready meanwhile, requests as well as timers, is ready
-    in one and the same step.
+    A long step and a process that gets no CPU time have the same effect: all requests
+    and timers that became ready meanwhile are handled together in the next step.
+
+    :param note: is called with each stall of at least :data:`MIN_STALL_SECONDS`.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self._wait_ends_at: float | None = None
 
     def start(self) -> None:
-        """Watch the event loop of the present task until it ends."""
+        """Watch the event loop of the current task until the loop ends."""
         trio.lowlevel.add_instrument(self)
 
     def describe(self) -> list[float] | None:
@@ -54,14 +55,14 @@
         return [round(self.last.seconds, 3), round(age, 3)]
 
     def before_io_wait(self, timeout: float) -> None:
-        """Take the end of a step, and when the wait for events has to end."""
+        """Record the end of a step and the time at which the wait has to end."""
         now = self._clock()
         self._wait_ends_at = now + timeout
         if self._step_began_at is not None:
             self._record_stall(now, now - self._step_began_at)
 
     def after_io_wait(self, timeout: float) -> None:
-        """Take the end of a wait, which is the begin of a step."""
+        """Record the end of a wait, which is the start of a step."""
         now = self._clock()
         self._step_began_at = now
         if self._wait_ends_at is not None:
--- a/ashpond/metrics.py
+++ b/ashpond/metrics.py
@@ -10,7 +10,7 @@
 
 
 class Metrics:
-    """All metrics of one instance, each in one place."""
+    """All metrics of one instance."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -48,5 +48,5 @@
         return Gauge(f"ashpond_{name}", text, registry=self.registry)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the page and its headers."""
+        """Return the metrics page in the accepted format, and its headers."""
         return render(self.registry, [accept] if accept else [])
--- a/ashpond/operator.py
+++ b/ashpond/operator.py
@@ -1,4 +1,4 @@
-"""What operators' commands do: talk to the admin address of any instance."""
+"""The client of the operator commands for the admin address of an instance."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class AdminAnswer(NamedTuple):
-    """An HTTP status (0 if nobody answered) and the JSON body."""
+    """An HTTP status (0 if there was no answer) and the JSON body."""
 
     status: int
     body: dict[str, Any]
 
 
 class AdminClient:
-    """Calls the admin application of one instance."""
+    """Sends requests to the admin application of one instance."""
 
     def __init__(self, address: str, token: str):
         headers = {"Authorization": f"Bearer {token}"}
@@ -39,14 +39,14 @@
         )
 
     def get(self, path: str) -> AdminAnswer:
-        """Read one resource."""
+        """Fetch the resource at ``path``."""
         return self._call("GET", path, None)
 
     def apply(self, files: dict[str, str | None], base: int | None) -> AdminAnswer:
         """Apply files as one change.
 
-        A lost answer is followed by the same apply under the same id, which
-        takes effect only once however often it is sent.
+        If the answer is lost, the change is sent again under the same id. An id takes
+        effect at most once, however often it is sent.
         """
         change = {"files": files, "base": base, "apply_id": uuid.uuid4().hex}
         answer = AdminAnswer(0, {"error": "not sent"})
@@ -58,7 +58,11 @@
         return answer
 
     def wait_for(self, generation: int, timeout: float) -> list[str]:
-        """Wait until all live instances run ``generation``; return the late ones."""
+        """Wait until all live instances run ``generation``.
+
+        :param timeout: how long to wait (seconds).
+        :returns: the addresses of the instances that do not run it yet.
+        """
         deadline = time.monotonic() + timeout
         lagging = ["(no answer)"]
         while time.monotonic() < deadline:
@@ -83,9 +87,9 @@
 
 
 def read_files(paths: tuple[str, ...]) -> dict[str, str]:
-    """Return the files' texts by their names.
+    """Return the contents of the files by file name, without directories.
 
-    :raises ConfigError: if one cannot be read or two have the same name.
+    :raises ConfigError: if a file cannot be read or two have the same name.
     """
     files: dict[str, str] = {}
     problems = []
--- a/ashpond/replies.py
+++ b/ashpond/replies.py
@@ -1,4 +1,4 @@
-"""Answers that ashpond itself gives: errors in one documented form."""
+"""Replies that ashpond itself generates, with errors in the documented form."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def make_json_reply(value: Any, status: int = 200) -> Reply:
-    """Return a reply whose body is ``value``."""
+    """Return a reply whose body is ``value`` as JSON."""
     return Reply(status, {"Content-Type": JSON}, orjson.dumps(value))
 
 
 def make_refusal_reply(refusal: Refusal) -> Reply:
-    """Return the reply of a refusal, with when to come back."""
+    """Return the error reply of a refusal, with ``Retry-After`` if it is known."""
     reply = make_json_reply(describe_refusal(refusal), refusal.status)
     if refusal.retry_after is not None:
         reply.headers["Retry-After"] = str(math.ceil(refusal.retry_after))
@@ -29,12 +29,12 @@
 
 
 def make_error_event(refusal: Refusal) -> bytes:
-    """Return the server-sent event that ends a stream which failed."""
+    """Return the server-sent event that ends a failed stream."""
     return b"event: error\ndata: " + orjson.dumps(describe_refusal(refusal)) + b"\n\n"
 
 
 def describe_refusal(refusal: Refusal) -> dict[str, Any]:
-    """Return the documented body of an error."""
+    """Return the JSON body of an error reply."""
     milliseconds = None
     if refusal.retry_after is not None:
         milliseconds = math.ceil(refusal.retry_after * 1000)
--- a/ashpond/settings.py
+++ b/ashpond/settings.py
@@ -20,7 +20,7 @@
 
 
 class LimitSettings(NamedTuple):
-    """Bounds that protect one instance."""
+    """Limits on the resources that requests and peers may use at an instance."""
 
     max_body_bytes: Annotated[int, Field(ge=1024, le=1 << 30)] = 4 << 20
     max_queue: Annotated[int, Field(ge=1, le=1_000_000)] = 512
@@ -28,7 +28,7 @@
 
 
 class LogSettings(NamedTuple):
-    """What is logged."""
+    """The lowest level of log records that are written."""
 
     level: Literal["debug", "info", "notice", "warning", "error"] = "info"
 
@@ -47,10 +47,10 @@
 
 
 class Settings(NamedTuple):
-    """Everything that one instance is told at its start.
+    """The settings with which an instance is started.
 
-    Addresses are IP numbers with a port. ``peers`` may name other instances'
-    peer addresses, for a start while the platform's instance list is down.
+    Addresses are IP addresses with a port. ``peers`` may list the peer addresses of
+    other instances, for a start while the platform's instance list is unavailable.
     """
 
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
--- a/ashpond/tables.py
+++ b/ashpond/tables.py
@@ -1,4 +1,4 @@
-"""Read TOML text into a table, or say what is wrong with it."""
+"""Parsing of TOML text, with a report of its faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ashpond.errors import InputProblem
 
-# Of a faulty value, so many characters are shown.
+# Error messages show at most this many characters of a faulty value.
 MAX_SHOWN_CHARACTERS = 60
 
 
--- a/ashpond/tokens.py
+++ b/ashpond/tokens.py
@@ -1,4 +1,4 @@
-"""Signed tokens by which a caller resumes a stream through any instance."""
+"""Signed tokens with which a client resumes a stream through any instance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StreamToken(NamedTuple):
-    """Where a stream lives, and whose it is."""
+    """The engine that runs a stream, and the team that the stream belongs to."""
 
     server: str
     incarnation: str
@@ -26,7 +26,7 @@
 
 
 def read_stream_token(secret: str, text: str) -> StreamToken | None:
-    """Return the token, ``None`` if its signature or form is wrong."""
+    """Return the token, ``None`` if its signature is invalid."""
     try:
         fields = URLSafeSerializer(secret, salt=SALT).loads(text)
     except BadSignature:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -42,7 +42,7 @@
             '[backend_servers.b]\nservice = "reader"\naddress = "host:1"\n'
             'failure_domain = "north"\n',
             "bad.toml: backend_servers.b.address: Value error, the host must be an "
-            "IP number, not a name (got 'host:1')",
+            "IP address, not a name (got 'host:1')",
         ),
         (
             "[priorities.urgent]\nrank = 3\n",
