--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -99,7 +99,7 @@
 
     def __init__(self) -> None:
         self.limits = IngressLimits(idle_timeout=15.0)
-        self.passed_on: set[str] = set()
+        self.forwarded: set[str] = set()
         self.stop = trio.Event()
         self.clients: list[Client] = []
         ports = IngressAddresses(*[f"127.0.0.1:{find_free_port()}" for _ in range(3)])
@@ -115,7 +115,7 @@
         )
 
     async def _handle(self, call: IncomingCall, reply: Reply) -> None:
-        self.passed_on.add(call.envelope.request_id)
+        self.forwarded.add(call.envelope.request_id)
         for _ in range(SERVER_STEPS):
             await trio.lowlevel.checkpoint()
         await replies.send_complete(reply, 200, b"text/plain", BODY)
@@ -132,7 +132,7 @@
             client.send()
             assert (await client.read()).endswith(BODY)
         await take_steps(SERVER_STEPS)
-        self.passed_on.clear()
+        self.forwarded.clear()
         return opened
 
     async def find_lost(self, sent: dict[Client, str]) -> set[str]:
@@ -143,7 +143,7 @@
         lost = set()
         for client, request_id in sent.items():
             answer = await client.read()
-            if request_id in self.passed_on and not answer.endswith(BODY):
+            if request_id in self.forwarded and not answer.endswith(BODY):
                 lost.add(request_id)
         return lost
 
--- a/tests/listeners.py
+++ b/tests/listeners.py
@@ -48,7 +48,7 @@
         host, port = self.address.split(":")
         return await trio.open_tcp_stream(host, int(port))
 
-    async def ask(self, data: bytes) -> bytes:
+    async def send_and_read(self, data: bytes) -> bytes:
         """Send bytes on a connection of their own and return all that comes."""
         stream = await self.connect()
         async with stream:
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -11,7 +11,7 @@
 from tests.listeners import POST, REQUEST, read_until, run_listener
 
 
-async def test_an_application_gets_the_request_and_its_answer_is_sent():
+async def test_an_application_receives_the_request_and_its_answer_is_sent():
     scopes: list[dict[str, Any]] = []
 
     async def app(scope, receive, send):
@@ -41,32 +41,32 @@
     assert (b"host", b"a") in scope["headers"]
 
 
-async def test_an_application_is_told_that_its_client_has_left():
-    told = trio.Event()
+async def test_an_application_receives_a_disconnect_when_its_client_leaves():
+    disconnected = trio.Event()
 
     async def app(scope, receive, send):
         while (await receive())["type"] != "http.disconnect":
             pass
-        told.set()
+        disconnected.set()
 
     async with run_listener(make_handler(app)) as running:
         stream = await running.connect()
         await stream.send_all(POST + b"Content-Length: 0\r\n\r\n")
         await stream.aclose()
         with trio.fail_after(20):
-            await told.wait()
+            await disconnected.wait()
 
 
-async def test_an_application_that_answers_nothing_is_answered_for():
+async def test_a_request_that_the_application_ignores_is_answered_500():
     async def app(scope, receive, send):
         await receive()
 
     async with run_listener(make_handler(app)) as running:
-        seen = await running.ask(POST + b"Content-Length: 0\r\n\r\n")
+        seen = await running.send_and_read(POST + b"Content-Length: 0\r\n\r\n")
     assert seen.startswith(b"HTTP/1.1 500")
 
 
-async def test_an_application_is_started_and_shut_down():
+async def test_an_application_receives_startup_and_shutdown():
     events: list[str] = []
 
     async def app(scope, receive, send):
@@ -80,7 +80,7 @@
     assert events == ["lifespan.startup", "lifespan.shutdown"]
 
 
-async def test_an_application_that_cannot_start_says_why():
+async def test_a_failed_startup_raises_the_message_of_the_application():
     async def app(scope, receive, send):
         await receive()
         await send({"type": "lifespan.startup.failed", "message": "no table"})
@@ -90,7 +90,7 @@
             raise AssertionError("it has started")
 
 
-async def test_an_early_answer_and_leave_to_send_the_body_come_one_after_the_other():
+async def test_an_early_answer_and_100_continue_are_not_written_at_once():
     """Two writes at once once failed, and with them 9 to 14 of 20 answers."""
 
     async def app(scope, receive, send):
@@ -104,10 +104,10 @@
     head = POST + b"Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"
     async with run_listener(make_handler(app)) as running:
         for _ in range(20):
-            assert b" 401" in await running.ask(head)
+            assert b" 401" in await running.send_and_read(head)
 
 
-async def test_an_early_answer_in_pieces_is_not_cut_by_leave_to_send_the_body():
+async def test_an_early_answer_in_pieces_is_not_cut_off_by_100_continue():
     """Leave was given after the answer had begun, and 20 of 40 answers were cut."""
 
     async def app(scope, receive, send):
@@ -123,4 +123,4 @@
     head = POST + b"Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"
     async with run_listener(make_handler(app)) as running:
         for _ in range(40):
-            assert (await running.ask(head)).endswith(b"0\r\n\r\n")
+            assert (await running.send_and_read(head)).endswith(b"0\r\n\r\n")
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -122,7 +122,7 @@
             client.send_bytes(rest)
             client.close()
         await take_steps(2 * STEPS)
-    assert harness.passed_on == set()
+    assert harness.forwarded == set()
 
 
 async def test_answer_that_its_client_does_not_read_is_reported(autojump_clock):
@@ -256,8 +256,8 @@
     async with trio.open_nursery() as nursery:
         run = functools.partial(listener.run, running.stop.wait, GRACE_SECONDS)
         await nursery.start(run)
-        assert await running.ask(REQUEST) == b""
-        assert (await running.ask(LAST_REQUEST)).endswith(b"ok")
+        assert await running.send_and_read(REQUEST) == b""
+        assert (await running.send_and_read(LAST_REQUEST)).endswith(b"ok")
         running.stop.set()
     ((event, error),) = reported
     assert event == "accepting_paused"
@@ -270,5 +270,5 @@
         await exchange.start(200, [])
 
     async with run_listener(stop_early) as running:
-        seen = await running.ask(REQUEST)
+        seen = await running.send_and_read(REQUEST)
     assert seen.startswith(b"HTTP/1.1 500")
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -27,7 +27,7 @@
 STEPS = 20
 
 
-async def test_requests_of_one_connection_are_answered_in_their_order():
+async def test_pipelined_requests_are_answered_in_order():
     async with run_listener() as running:
         stream = await running.connect()
         async with stream:
@@ -42,8 +42,8 @@
 
 @settings(max_examples=25)
 @given(cuts=st.lists(st.integers(1, 2 * len(REQUEST) - 1), max_size=6))
-def test_requests_may_come_in_any_pieces(cuts):
-    async def play() -> bytes:
+def test_requests_split_into_any_pieces_are_answered(cuts):
+    async def run_requests() -> bytes:
         async with run_listener() as running:
             stream = await running.connect()
             async with stream:
@@ -57,7 +57,7 @@
                     seen += await stream.receive_some()
                 return seen
 
-    assert trio.run(play).count(b"HTTP/1.1 200") == 2
+    assert trio.run(run_requests).count(b"HTTP/1.1 200") == 2
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
         (POST + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nab", b"400"),
     ],
 )
-async def test_what_is_no_request_is_refused_and_ends_the_connection(data, status):
+async def test_an_invalid_request_is_refused_and_closes_the_connection(data, status):
     async with run_listener() as running:
         stream = await running.connect()
         async with stream:
@@ -79,13 +79,13 @@
     assert b"connection: close" in seen.lower()
 
 
-async def test_a_head_over_the_limit_is_refused_also_if_it_comes_in_one_piece():
+async def test_a_head_over_the_limit_is_refused_also_in_one_piece():
     async with run_listener() as running:
-        seen = await running.ask(POST + b"X: " + b"x" * 2000 + b"\r\n\r\n")
+        seen = await running.send_and_read(POST + b"X: " + b"x" * 2000 + b"\r\n\r\n")
     assert seen.startswith(b"HTTP/1.1 431")
 
 
-async def test_a_kept_connection_goes_by_a_larger_header_limit():
+async def test_a_kept_connection_applies_a_raised_header_limit():
     async with run_listener() as running:
         stream = await running.connect()
         async with stream:
@@ -99,33 +99,33 @@
             assert (await read_until(stream, b"ab")).startswith(b"HTTP/1.1 200")
 
 
-async def test_the_method_is_passed_on_as_it_was_sent():
+async def test_the_method_keeps_its_case_and_connect_is_refused():
     methods: list[str] = []
 
-    async def note(exchange: Exchange) -> None:
+    async def record_method(exchange: Exchange) -> None:
         methods.append(exchange.method)
         await echo(exchange)
 
-    async with run_listener(note) as running:
-        seen = await running.ask(
+    async with run_listener(record_method) as running:
+        seen = await running.send_and_read(
             b"head / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
         )
-        tunnel = await running.ask(b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n")
+        tunnel = await running.send_and_read(b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n")
     assert methods == ["head"]
     assert seen.startswith(b"HTTP/1.1 200")
     assert tunnel.startswith(b"HTTP/1.1 501")
 
 
-async def test_a_refused_body_is_not_told_as_its_clients_end():
+async def test_a_refused_body_is_not_reported_as_a_close_by_the_client():
     async with run_listener() as running:
-        await running.ask(POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n")
+        await running.send_and_read(POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n")
         await take_steps(STEPS)
     (closed,) = running.closed
     assert closed.by == CloseReason.BAD_REQUEST
     assert closed.failure
 
 
-async def test_a_head_that_does_not_come_whole_is_refused(mock_clock):
+async def test_an_incomplete_head_is_refused_after_the_header_timeout(mock_clock):
     async with run_listener() as running:
         stream = await running.connect()
         async with stream:
@@ -138,7 +138,7 @@
     assert [closed.by for closed in running.closed] == [CloseReason.HEADER_TIMEOUT]
 
 
-async def test_a_body_that_does_not_come_whole_is_refused(mock_clock):
+async def test_an_incomplete_body_is_refused_after_the_idle_timeout(mock_clock):
     async with run_listener() as running:
         stream = await running.connect()
         async with stream:
@@ -149,7 +149,7 @@
     assert seen.startswith(b"HTTP/1.1 408")
 
 
-async def test_a_client_that_waits_for_leave_to_send_its_body_gets_it():
+async def test_a_client_that_expects_100_continue_gets_it():
     async with run_listener() as running:
         stream = await running.connect()
         async with stream:
@@ -179,7 +179,7 @@
     assert not closed.has_call
 
 
-async def test_an_answer_of_a_leaving_instance_is_its_connections_last():
+async def test_an_answer_of_a_leaving_instance_closes_its_connection():
     async with run_listener() as running:
         running.is_leaving = True
         stream = await running.connect()
@@ -192,12 +192,12 @@
     assert [closed.by for closed in running.closed] == [CloseReason.LAST_ANSWER]
 
 
-async def test_a_failing_handler_is_answered_500_and_told():
+async def test_a_failing_handler_is_answered_500_and_reported():
     async def fail(exchange: Exchange) -> None:
         raise RuntimeError("broken")
 
     async with run_listener(fail) as running:
-        seen = await running.ask(POST + b"Content-Length: 0\r\n\r\n")
+        seen = await running.send_and_read(POST + b"Content-Length: 0\r\n\r\n")
         await take_steps(STEPS)
     assert seen.startswith(b"HTTP/1.1 500")
     (closed,) = running.closed
@@ -205,7 +205,7 @@
     assert "broken" in (closed.failure or "")
 
 
-async def test_an_answer_that_is_not_ended_looks_broken():
+async def test_an_unfinished_answer_is_not_terminated_as_complete():
     async def stop_early(exchange: Exchange) -> None:
         await echo_head(exchange)
 
@@ -216,7 +216,7 @@
         await exchange.send(b"part")
 
     async with run_listener(stop_early) as running:
-        seen = await running.ask(REQUEST)
+        seen = await running.send_and_read(REQUEST)
         await take_steps(STEPS)
     assert b"part" in seen
     assert not seen.endswith(b"0\r\n\r\n")
@@ -242,7 +242,7 @@
                 assert seen.startswith(f"HTTP/1.1 {status}".encode())
 
 
-async def test_a_client_that_leaves_is_noticed_while_its_request_is_in_hand():
+async def test_a_leaving_client_is_noticed_while_its_request_is_served():
     left = trio.Event()
 
     async def watch(exchange: Exchange) -> None:
@@ -267,7 +267,7 @@
     assert (closed.by, closed.has_call) == (CloseReason.CLIENT, True)
 
 
-async def test_a_client_that_sends_on_and_on_is_not_read_without_end():
+async def test_a_client_that_keeps_sending_is_not_read_without_limit():
     async def wait(exchange: Exchange) -> None:
         while await exchange.read_piece():
             pass
@@ -285,7 +285,7 @@
     assert scope.cancelled_caught
 
 
-async def test_a_deadline_in_the_step_of_an_answer_does_not_cut_it(mock_clock):
+async def test_a_deadline_in_the_step_of_an_answer_does_not_cut_it_off(mock_clock):
     async def answer_late(exchange: Exchange) -> None:
         while await exchange.read_piece():
             pass
@@ -300,7 +300,7 @@
             assert (await read_until(stream, b"ok")).startswith(b"HTTP/1.1 200")
 
 
-async def test_the_grace_period_ends_what_is_still_in_hand(mock_clock):
+async def test_a_request_in_flight_is_cut_off_after_the_grace_period(mock_clock):
     async def hang(exchange: Exchange) -> None:
         while await exchange.read_piece():
             pass
@@ -320,7 +320,7 @@
     assert (closed.by, closed.has_call) == (CloseReason.GRACE_PERIOD, True)
 
 
-async def test_a_client_that_takes_nothing_does_not_outlast_the_grace_period(
+async def test_a_client_that_reads_nothing_does_not_outlast_the_grace_period(
     mock_clock,
 ):
     async def flood(exchange: Exchange) -> None:
@@ -345,7 +345,7 @@
     assert (closed.by, closed.has_call) == (CloseReason.GRACE_PERIOD, True)
 
 
-async def test_connections_that_nobody_accepted_yet_are_served_at_shutdown():
+async def test_connections_in_the_backlog_are_served_at_shutdown():
     async with run_listener(echo) as running:
         await take_steps(STEPS)
         stream = await running.connect()
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -44,7 +44,7 @@
 LEAVING_STEPS = 8
 
 
-async def test_a_request_and_the_idle_limit_in_one_step(mock_clock):
+async def test_a_request_that_arrives_as_the_idle_limit_expires_is_answered(mock_clock):
     async with run_ingress() as harness:
         harness.set_idle_limit(IDLE_SECONDS)
         for _ in range(ROUNDS):
@@ -55,7 +55,9 @@
 
 
 @pytest.mark.parametrize("steps", range(LEAVING_STEPS))
-async def test_a_request_and_the_close_of_a_leaving_instance(mock_clock, steps):
+async def test_a_request_that_arrives_as_a_leaving_instance_closes_is_answered(
+    mock_clock, steps
+):
     for _ in range(ROUNDS):
         async with run_ingress() as harness:
             clients = await harness.open(CONNECTIONS)
@@ -65,7 +67,7 @@
             assert await harness.find_lost(sent) == set()
 
 
-async def test_a_connection_goes_by_a_limit_that_grew_while_it_was_idle(mock_clock):
+async def test_an_idle_connection_applies_a_raised_idle_limit(mock_clock):
     """A client that knows the newest limit may use its connection for so long."""
     async with run_ingress() as harness:
         harness.set_idle_limit(IDLE_SECONDS)
@@ -78,7 +80,7 @@
         assert (await client.read()).endswith(BODY)
 
 
-async def test_a_connection_goes_by_a_limit_that_shrank_while_it_was_idle(mock_clock):
+async def test_an_idle_connection_applies_a_lowered_idle_limit(mock_clock):
     async with run_ingress() as harness:
         (client,) = await harness.open(1)
         harness.set_idle_limit(IDLE_SECONDS)
@@ -110,7 +112,7 @@
 )
 
 
-class Play:
+class Scenario:
     """Carries out actions; nothing but ``steps`` gives the event loop a turn."""
 
     def __init__(
@@ -161,7 +163,7 @@
         for client in self.clients:
             if client in self.left:
                 continue
-            taken = [r for r in self.sent[client] if r in self.harness.passed_on]
+            taken = [r for r in self.sent[client] if r in self.harness.forwarded]
             if client.read_now().count(b"HTTP/1.1 200") < len(taken):
                 lost.update(taken)
         return lost
@@ -173,13 +175,13 @@
     plan=[Action("limit", amount=2.0), Action("send", 1), Action("jump", amount=2.0)]
 )
 @example(plan=[Action("stop"), Action("steps", amount=5), Action("send", 2)])
-def test_whatever_ends_a_connection_what_was_taken_up_is_answered(plan):
-    async def play(clock: trio.testing.MockClock) -> set[str]:
+def test_every_forwarded_request_is_answered_however_its_connection_ends(plan):
+    async def run_scenario(clock: trio.testing.MockClock) -> set[str]:
         async with run_ingress() as harness:
-            playing = Play(harness, clock, await harness.open(3))
+            scenario = Scenario(harness, clock, await harness.open(3))
             for action in plan:
-                await playing.do(action)
-            return await playing.find_lost()
+                await scenario.do(action)
+            return await scenario.find_lost()
 
     clock = trio.testing.MockClock()
-    assert trio.run(play, clock, clock=clock) == set()
+    assert trio.run(run_scenario, clock, clock=clock) == set()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -24,11 +24,11 @@
     def __init__(self) -> None:
         self.address = f"127.0.0.1:{find_free_port()}"
         self.stop = trio.Event()
-        self.asked = 0
+        self.received = 0
         self.answered = 0
 
     async def answer(self) -> bytes:
-        self.asked += 1
+        self.received += 1
         body = await read_body()
         for _ in range(STEPS):
             await trio.lowlevel.checkpoint()
@@ -52,7 +52,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_request_in_the_step_of_the_idle_limit_is_answered(mock_clock):
+async def test_a_request_that_arrives_as_the_idle_limit_expires_is_answered(mock_clock):
     """The callers' API lost requests as the routed path did.
 
     A timer's task closed a connection whose request the reader had just taken up. With
@@ -72,10 +72,10 @@
                 assert (await client.read()).endswith(BODY)
         for client in clients:
             client.close()
-    assert echo.answered == echo.asked == 2 * ROUNDS * CONNECTIONS
+    assert echo.answered == echo.received == 2 * ROUNDS * CONNECTIONS
 
 
-async def test_a_body_over_the_limit_is_refused_though_it_is_on_its_way():
+async def test_a_body_over_the_limit_is_refused_while_it_is_being_sent():
     async with run_echo() as echo:
         stream = await echo.connect()
         async with stream:
@@ -86,7 +86,7 @@
     assert echo.answered == 0
 
 
-async def test_a_shutdown_waits_for_the_answer_in_hand(mock_clock):
+async def test_a_shutdown_waits_for_the_request_in_flight(mock_clock):
     async with run_echo() as echo:
         stream = await echo.connect()
         async with stream:
@@ -98,7 +98,7 @@
             assert (await read_all(stream)).endswith(b"ab")
 
 
-async def test_a_body_that_is_announced_too_large_is_refused_before_it_comes():
+async def test_a_body_announced_too_large_is_refused_before_it_is_sent():
     async with run_echo() as echo:
         for _ in range(20):
             stream = await echo.connect()
