--- a/ashpond/fleet/__init__.py
+++ b/ashpond/fleet/__init__.py
@@ -1,6 +1,7 @@
-"""What instances tell each other: who there is, who tells whom, and what.
+"""The exchange of updates between the instances of a fleet.
 
-``members`` knows the instances, ``exchange`` holds the links to them, ``links`` what is
-queued for each, ``sending`` sends it, ``updates`` holds the typed values and their
-messages, ``view`` is what all others together have told.
+``members`` keeps the list of instances and ``exchange`` the links to them, ``links``
+queues what each link has to send, ``sending`` writes it to the connection, ``updates``
+defines the typed values and their messages, and ``view`` adds up what all peers have
+reported.
 """
--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -1,4 +1,4 @@
-"""Tell the other instances of work in flight and of changes at backend servers."""
+"""Exchange loads and changes at backend servers with the other instances."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 class PeerExchange:
-    """Sends news to other instances and takes theirs."""
+    """Sends updates to other instances and applies theirs."""
 
     def __init__(
         self,
@@ -101,44 +101,44 @@
         return self._is_hub
 
     def list_links(self) -> list[Link]:
-        """Return all peers that are told at present."""
+        """Return the links to all peers that receive updates at present."""
         return [*self._outgoing.values(), *self._own_members]
 
     def announce(self, notice: ServerNotice) -> None:
-        """Tell all peers of a change at once."""
+        """Send all peers a notice at once."""
         for link in self._list_dependent_links():
             link.add([notice])
             link.wake()
 
     def send_cache_entry(self, cache_entry: CacheEntry) -> None:
-        """Tell all peers, with the next news, what an engine has read."""
+        """Send all peers a new cache entry of an engine with the next update."""
         for link in self._list_dependent_links():
             link.add(cache_entries=[cache_entry])
 
     def send_crashes(self, crashes: Sequence[ServerCrash]) -> None:
-        """Tell all peers at once which requests servers have ended under."""
+        """Send all peers at once the requests that were in flight at server crashes."""
         for link in self._list_dependent_links():
             link.add(crashes=crashes)
             link.wake()
 
     @property
     def is_reader(self) -> bool:
-        """Whether this instance asks the store itself, and tells those that do not."""
+        """Whether this instance reads the store and forwards changes to the others."""
         return not self.links.group or (self._is_hub and self.links.is_reader)
 
     def get_max_lag(self) -> float:
-        """Return how late reports of others' work may arrive, 0 in a flat fleet."""
+        """Return the longest delay of peers' loads in groups, 0 in a flat fleet."""
         return GROUP_LAG_SECONDS if self.links.group else 0.0
 
     def publish(self, update: TableUpdate) -> None:
-        """Tell the fleet what the store answered, or as no reader the own group."""
+        """Send changes read from the store: a reader to all, a hub to its group."""
         scope = Scope.MEMBER if self.is_reader else Scope.GROUP
         self._forward(scope, self._incarnation, tables=[update])
 
     async def run(
         self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Take part until cancelled."""
+        """Exchange updates with the peers until cancelled."""
         async with trio.open_nursery() as nursery:
             await self.members.agree_secret()
             self._nursery = nursery
@@ -152,11 +152,11 @@
             task_status.started()
 
     def adjust_links(self) -> None:
-        """Link to the peers that the present members call for."""
+        """Open and close links to match the present members."""
         if self._nursery is None:
             return
-        # Its own row may not be there yet: without it, an instance that starts among
-        # many would link to each of them.
+        # The store may lack this instance's own row yet. Without it, an instance that
+        # starts in a large fleet would link to every other.
         own = self.members.own
         members = {**self.members.by_name, own.name: own}
         links = plan_links(members, self._name, self._mesh_limit)
@@ -186,7 +186,7 @@
         return waited > HEARTBEAT_SECONDS * 2 and self.view.find_hub(now) is None
 
     def _check_hub(self, now: float) -> None:
-        """Take over the work of the group's hub, or leave it, if it is time."""
+        """Become the hub of the group, or stop being it, when that is due."""
         self.view.expire(now)
         self._retain_counted(now)
         if self._should_act_as_hub(now) != self._is_hub:
@@ -200,7 +200,7 @@
         )
 
     async def _use_connection(self, link: Link, stream: PeerStream) -> str:
-        """Send news, take those of a hub; return why the connection ended."""
+        """Send updates, and receive those of a hub; return why the connection ended."""
         link.is_connected = True
         try:
             if link.role is not PeerRole.HUB:
@@ -217,10 +217,10 @@
                 await stream.aclose()
 
     async def _schedule_updates(self) -> None:
-        """Wake the links that have something to tell, all in the same turn.
+        """Wake the links that have something to send, once per update interval.
 
-        A link that has nothing costs no wake-up: of a hub's 43 links, 15 only hold
-        connections to those that stand by.
+        Other links are not woken, as that costs time for nothing: of a hub's 43 links,
+        15 only keep connections to standby hubs.
         """
         while True:
             await trio.sleep(choose_update_interval(self.links.group))
@@ -232,10 +232,10 @@
                     link.wake()
 
     async def _send_updates(self, link: Link, stream: PeerStream) -> None:
-        """Tell a peer that has just been connected to, and then what is new.
+        """Send a newly connected peer the full state, and then what changes.
 
-        What is urgent goes by itself: with the work of all servers, 2.8 KB for 123 of
-        them, a hub's members were told 30 times a second in place of 8.
+        Urgent values are sent without the loads, 2.8 KB for 123 servers. Otherwise a
+        hub would send its members all loads 30 times per second instead of 8.
         """
         link.is_due = True
         link.crashes.clear()
@@ -254,7 +254,7 @@
             await link.wait()
 
     def _is_due(self, link: Link, now: float) -> bool:
-        """Return whether a peer should be told of the work, and what has happened."""
+        """Return whether a peer should be sent the load and the queued values."""
         if link.sent is None or now - link.sent_at >= HEARTBEAT_SECONDS:
             return True
         if not self._needs_updates(link):
@@ -275,7 +275,7 @@
         return [link for link in self.list_links() if self._needs_updates(link)]
 
     def _needs_updates(self, link: Link) -> bool:
-        """Return whether a peer relies on this link; others need heartbeats only."""
+        """Return whether a peer uses the updates on this link, not just heartbeats."""
         if link.role is PeerRole.OTHER_HUB:
             return is_first_reachable(link.name, self.links.other_hubs, self._outgoing)
         hub = self.view.find_hub(trio.current_time())
@@ -289,7 +289,7 @@
         )
 
     async def _serve_connection(self, raw: trio.SocketStream) -> None:
-        """Take the news of a peer that has connected; answer a group's member."""
+        """Serve a peer that has connected, until the connection ends."""
         watch_liveness(raw.socket)
         stream = PeerStream(raw, self.members.secret, MAX_FRAME_BYTES)
         try:
@@ -308,7 +308,7 @@
         self._log.note("peer_stream_ended", reason=reason)
 
     async def _handle_updates(self, first: UpdateMessage, stream: PeerStream) -> str:
-        """Take the news of a peer; return why the connection ended."""
+        """Apply a peer's updates, and send a member some; return why that ended."""
         self._apply(first)
         if first.scope == Scope.MEMBER:
             return await self._serve_member(first.sender, stream)
@@ -394,7 +394,7 @@
         tables: Sequence[TableUpdate] = (),
         crashes: Sequence[ServerCrash] = (),
     ) -> None:
-        """Forward what others receive from this hub only."""
+        """Forward, as a hub, what other peers receive through this instance only."""
         if not self._is_hub or not (notices or cache_entries or tables or crashes):
             return
         links = [link for link in self._own_members if link.name != sender]
--- a/ashpond/fleet/intervals.py
+++ b/ashpond/fleet/intervals.py
@@ -1,4 +1,4 @@
-"""How often news are told, and how soon lost connections between instances return."""
+"""Intervals of updates between instances, and delays of their reconnections."""
 
 from __future__ import annotations
 
@@ -12,20 +12,24 @@
     "choose_update_interval",
 ]
 
-# Loads are told at most so often in a flat fleet, and at least so often (seconds).
+# Shortest and longest interval between load updates to a peer in a flat fleet
+# (seconds).
 UPDATE_SECONDS = 0.08
 HEARTBEAT_SECONDS = 0.6
-# In groups each of the three steps between two instances takes up to this (seconds).
+# The same shortest interval in groups, where an update between two instances takes up
+# to three steps (seconds).
 GROUP_UPDATE_SECONDS = 0.12
-# From one instance over two hubs to another: three steps, on machines that are busy.
+# Longest delay of an update from one instance over two hubs to another on busy
+# machines (seconds).
 GROUP_LAG_SECONDS = 1.2
-# Instances that restart together reach one another some 0.1 s later.
+# First delay before reconnecting, doubled up to the limit (seconds). Instances that
+# restart together can reach one another after some 0.1 s.
 RECONNECT_SECONDS = 0.15
 RECONNECT_LIMIT_SECONDS = 2.4
 
 
 def choose_update_interval(group: str) -> float:
-    """Return the time between two turns of news (seconds).
+    """Return the interval between two updates (seconds).
 
     :param group: the instance's group, empty in a flat fleet.
     """
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -1,4 +1,4 @@
-"""The peers that one instance sends news to, and what is queued for each."""
+"""The links to the peers that an instance sends updates to, and their queues."""
 
 from __future__ import annotations
 
@@ -40,24 +40,27 @@
 from ashpond.fleet.updates import ServerNotice
 from ashpond.fleet.view import InstanceLoad, Scope
 
-# For a peer that is away; what it misses costs it some reading (entries).
+# Queue of cache entries for a peer without a connection. For each entry it misses,
+# engines may have to read a prompt part again (entries).
 MAX_PENDING_CACHE_ENTRIES = 500
-# The same for one turn in a group, where a hub passes on the holdings of all. Of 336 a
-# second in a fleet of 195, with 8 turns a second, 12 a turn leave out two of three.
+# Limits of the same queue in groups, where a hub forwards the cache entries of all
+# instances (entries per update). A fleet of 195 reports 336 entries per second; at 8
+# updates per second, 12 entries per update omit two of three.
 MIN_GROUP_CACHE_ENTRIES = 12
 MAX_GROUP_CACHE_ENTRIES = 40
-# What a hub may spend of its machine's network link on holdings (share of its rate).
+# Share of the rate of its machine's network link that a hub may use for cache entries.
 CACHE_ENTRIES_SHARE = 0.05
-# A holding in a message: ids of a server and a part, a salt, a start (bytes).
+# Size of a cache entry in a message: ids of a server and a prompt part, a salt, a start
+# of the server (bytes).
 CACHE_ENTRY_BYTES = 64
 BYTES_PER_MBIT = 125_000
-# The same of changes in the store; a peer that misses one asks the store (entries).
+# Queue of changes of tables; a peer that misses one reads the store (entries).
 MAX_PENDING_TABLES = 30
-# The same of ends of servers; a peer that connects anew is told of all (entries).
+# Queue of crashes; a peer that reconnects is sent all known crashes (entries).
 MAX_PENDING_CRASHES = 500
-# What peers tell of their work and of what they learn.
+# The messages of updates.
 UpdateMessage = News | Notices | ServerEndNews | TableChanges
-# Ways in which a connection between instances ends.
+# Exceptions that end a connection between instances.
 PEER_ERRORS = (
     OSError,
     FrameError,
@@ -68,7 +71,7 @@
 
 
 class PeerRole(Enum):
-    """What a peer is to this instance."""
+    """The role of a peer as seen from this instance."""
 
     EQUAL = auto()
     HUB = auto()
@@ -76,7 +79,7 @@
     OTHER_HUB = auto()
 
 
-# Whose work each is told.
+# What the updates to a peer of each role cover.
 SCOPE_BY_ROLE = {
     PeerRole.EQUAL: Scope.OWN,
     PeerRole.HUB: Scope.MEMBER,
@@ -88,11 +91,11 @@
 def limit_cache_entries(
     role: PeerRole, link_mbps: float, groups: int, turn: float
 ) -> int:
-    """Return how many holdings an instance tells a peer in a turn.
+    """Return how many cache entries an instance may send a peer with one update.
 
-    :param link_mbps: what its machine's network link carries, 0 if that is not known.
-    :param groups: how many other groups there are; about as many members has its own.
-    :param turn: the time between two turns (seconds).
+    :param link_mbps: the rate of its machine's network link, 0 if unknown.
+    :param groups: the number of other groups; its own group has about as many members.
+    :param turn: the interval between two updates (seconds).
     """
     if role is PeerRole.EQUAL:
         return MAX_PENDING_CACHE_ENTRIES
@@ -103,12 +106,12 @@
 
 
 class Link:
-    """One peer that is told.
+    """One peer that receives updates, and what is queued for it.
 
-    ``name`` is the peer's, or its life's for a member of this instance's group.
-    ``sent`` is the work that it was told last, at ``sent_at``; ``is_due`` tells that
-    it is to be told anew. Of holdings that wait for a turn, the first
-    ``max_holdings`` are kept.
+    ``name`` is the peer's name, or its incarnation for a member of this instance's
+    group. ``sent`` is the load in the last update, sent at ``sent_at``; ``is_due``
+    means that another one should be sent. Only the first ``max_cache_entries`` queued
+    cache entries are kept.
     """
 
     def __init__(
@@ -133,7 +136,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether there is something that should not wait for the next turn."""
+        """Whether anything is queued that should not wait for the next update."""
         return bool(self.notices or self.tables or self.crashes)
 
     def add(
@@ -143,7 +146,7 @@
         tables: Iterable[TableUpdate] = (),
         crashes: Iterable[ServerCrash] = (),
     ) -> None:
-        """Keep news until the next turn."""
+        """Queue values for the peer."""
         self.crashes.extend(crashes)
         self.notices.extend(notices)
         self.tables.extend(tables)
@@ -151,16 +154,16 @@
         self._limit_cache_entries()
 
     def wake(self) -> None:
-        """Have what there is told now."""
+        """Resume the sender, which waits in :meth:`wait`."""
         self._signal.set()
 
     async def wait(self) -> None:
-        """Wait until there is something to tell."""
+        """Wait for the next call of :meth:`wake`."""
         await self._signal.wait()
         self._signal = trio.Event()
 
     def take(self) -> tuple[list[ServerNotice], list[CacheEntry]]:
-        """Return the notices and holdings that wait, which are then told."""
+        """Remove and return the queued notices and cache entries."""
         notices, self.notices = self.notices, []
         cache_entries, self.cache_entries = self.cache_entries, []
         return notices, cache_entries
@@ -168,7 +171,7 @@
     def put_back(
         self, notices: list[ServerNotice], cache_entries: list[CacheEntry]
     ) -> None:
-        """Keep what was taken and not told, before what has come since."""
+        """Requeue what was taken and not sent, before what was queued since."""
         self.notices[:0] = notices
         self.cache_entries[:0] = cache_entries
         self._limit_cache_entries()
@@ -178,7 +181,7 @@
 
 
 def list_required_links(links: Links, *, is_hub: bool) -> set[tuple[PeerRole, Member]]:
-    """Return whom an instance links to, and as what."""
+    """Return the peers that an instance links to, with their roles."""
     required = {(PeerRole.EQUAL, member) for member in links.mesh_peers}
     required |= {(PeerRole.HUB, member) for member in links.preferred_hubs}
     if is_hub:
@@ -188,9 +191,10 @@
 
 
 def is_relied_on(link: Link, hub: str | None, *, is_hub: bool) -> bool:
-    """Return whether an equal, a member or a hub relies on what it is told.
+    """Return whether an equal, a member or a hub uses the updates on its link.
 
-    :param hub: the life of the hub that this instance goes by, if there is one.
+    :param hub: the incarnation of the hub that this instance uses, if there is one.
+    :param is_hub: whether this instance acts as the hub of its group.
     """
     if link.role is PeerRole.MEMBER:
         return is_hub
@@ -204,9 +208,10 @@
     other_hubs: Iterable[Sequence[Member]],
     links: Mapping[tuple[PeerRole, Member], Link],
 ) -> bool:
-    """Return whether no candidate of its group goes before one that can be reached.
+    """Return whether every candidate preferred over this one is disconnected.
 
-    :param other_hubs: the candidates of the other groups, the first choice first.
+    :param name: a candidate for the hub of another group.
+    :param other_hubs: the candidates of each other group, the preferred one first.
     """
     for candidates in other_hubs:
         names = [member.name for member in candidates]
@@ -219,7 +224,7 @@
 
 
 async def run_until_first_end(*tasks: Callable[[], Awaitable[None]]) -> str:
-    """Run tasks until one of them fails; return the reason."""
+    """Run tasks until the first one ends; return the errors that ended them."""
     reasons: list[str] = []
     async with trio.open_nursery() as nursery:
 
@@ -236,12 +241,12 @@
 
 
 def strip_incarnation(incarnation: str) -> str:
-    """Return the name of the instance whose life this is."""
+    """Return the name of the instance of an incarnation."""
     return incarnation.rpartition("#")[0]
 
 
 async def receive_update(stream: PeerStream) -> UpdateMessage:
-    """Return the next news; other messages are passed over."""
+    """Return the next update; other messages are ignored."""
     while True:
         message = await stream.receive()
         if isinstance(message, UpdateMessage):
@@ -249,7 +254,7 @@
 
 
 async def receive_first(stream: PeerStream) -> UpdateMessage | AllowanceAsk:
-    """Return what a peer that has connected begins with."""
+    """Return the first update or ask for allowances of a peer that has connected."""
     while True:
         message = await stream.receive()
         if isinstance(message, UpdateMessage | AllowanceAsk):
--- a/ashpond/fleet/members.py
+++ b/ashpond/fleet/members.py
@@ -1,4 +1,4 @@
-"""The instances there are, as their rows in the store tell."""
+"""The instances of the fleet, and the secret that they share, as the store has them."""
 
 from __future__ import annotations
 
@@ -22,14 +22,16 @@
 SECRET_TABLE = "ashpond-secret"
 SECRET_KEY = "peers"
 SECRET_BYTES = 24
-# Instances whose rows a store that came back does not hold write them again; until then
-# they count as there (seconds).
+# After the store was restored from an older copy, instances missing from it have this
+# long to write their rows again, and count as members until then (seconds).
 RESTORE_SECONDS = 5.0
-# Instances that have left are remembered, as a copy may hold their rows.
+# Instances that have left are recorded, as an older copy may contain their rows
+# (entries).
 MAX_LEFT = 1_000
-# In a deployment that has just started, the copy may lack the secret (seconds).
+# An older copy may lack the secret if the secret was agreed on less than this before
+# the restore (seconds).
 NEW_DEPLOYMENT_SECONDS = 60.0
-# A write or read that failed is tried again after this (seconds).
+# Delay before a failed read or write is retried (seconds).
 RETRY_SECONDS = 0.3
 
 
@@ -43,7 +45,7 @@
 
 
 def decode_member_row(row: Row) -> Member | InvalidRow | None:
-    """Return the instance that a row describes; None for one that has left."""
+    """Return the instance described by a row; None for one that has left."""
     if row.value is None:
         return None
     try:
@@ -55,21 +57,23 @@
 
 
 def decode_secret(row: Row) -> str | InvalidRow:
-    """Return the secret that instances share, as its row holds it."""
+    """Return the shared secret of the instances from its row."""
     try:
         secret = (row.value or b"").decode("ascii")
     except UnicodeDecodeError as error:
         return InvalidRow(row.table, row.key, row.version, str(error))
     if len(secret) != SECRET_BYTES * 2:
-        return InvalidRow(row.table, row.key, row.version, "not of a secret's length")
+        return InvalidRow(
+            row.table, row.key, row.version, "the secret has the wrong length"
+        )
     return secret
 
 
 class Members:
-    """The rows of all instances, the own one included, and the secret that they share.
+    """The rows of all instances, including this one, and the secret that they share.
 
-    :param on_change: is called after a change of the members.
-    :param invalid_rows: is told of rows that cannot be read, which name no instance.
+    :param on_change: called after a change of the members.
+    :param invalid_rows: records rows that cannot be decoded; they add no instance.
     """
 
     def __init__(
@@ -90,7 +94,8 @@
         self._is_registered = False
         self._agreed_at = float("-inf")
         self._left: dict[str, None] = {}
-        # Those that the store does not hold any more, and until when they count.
+        # Members whose rows are missing from the restored store, and until when they
+        # count as members.
         self._missing: dict[str, float] = {}
         self._is_restored = False
         self._pending_writes: list[tuple[list[Condition], Row]] = []
@@ -99,7 +104,7 @@
         store.era.on_change(self._begin_era)
 
     def _begin_era(self) -> None:
-        """Expect a table that lacks rows, and holds those of instances that left."""
+        """Prepare for a table that lacks rows and has rows of instances that left."""
         self._is_restored = True
         if (
             self.secret
@@ -109,7 +114,7 @@
             self._restore_needed.set()
 
     async def restore_rows(self) -> None:
-        """Write again what a store that came back lacks, until cancelled."""
+        """Write rows that a restored store lacks, until cancelled."""
         while True:
             await self._restore_needed.wait()
             self._restore_needed = trio.Event()
@@ -126,7 +131,7 @@
                 self._restore_needed.set()
 
     async def _restore_secret(self) -> None:
-        """Write the known secret if the store has none, and go by the one it holds."""
+        """Write the known secret if the store has none, and adopt the stored one."""
         row = Row(SECRET_TABLE, SECRET_KEY, self.secret.encode(), 0)
         await self._store.write([Condition(SECRET_TABLE, SECRET_KEY, 0)], [row])
         outcome = await self._store.read(SECRET_TABLE)
@@ -141,11 +146,11 @@
                 self.secret = found
 
     def count(self) -> int:
-        """Return how many instances there are, this one included."""
+        """Return the number of instances, this one included."""
         return max(1, len(self.by_name))
 
     async def register(self) -> None:
-        """Enter this instance into the members' table."""
+        """Write the row of this instance to the members table."""
         row = self._make_own_row()
         self._is_registered = True
         while not isinstance(await self._store.write([], [row]), Done):
@@ -157,7 +162,7 @@
         return Row(MEMBERS_TABLE, self.own.name, orjson.dumps(table), 0)
 
     async def leave(self) -> None:
-        """Take this instance out of the members' table, if the store answers."""
+        """Remove this instance from the members table, if the store answers."""
         self._is_registered = False
         row = Row(MEMBERS_TABLE, self.own.name, None, 0)
         outcome = await self._store.write([], [row])
@@ -165,7 +170,7 @@
             self._log.note("leave_not_recorded", outcome=str(outcome))
 
     async def agree_secret(self) -> None:
-        """Learn the secret that all instances share; the first one makes it."""
+        """Read the secret that all instances share; the first instance creates it."""
         self._agreed_at = trio.current_time()
         while not self.secret:
             outcome = await self._store.read(SECRET_TABLE)
@@ -178,15 +183,15 @@
                 continue
             found = decode_secret(rows[0])
             if isinstance(found, InvalidRow):
-                # Those that know the one before it go on with it; without a new one
-                # no instance that starts would ever hear of another again.
+                # Instances that know the previous secret keep using it. Without a new
+                # one, an instance that starts could never connect to a peer.
                 self._invalid_rows.note(found)
                 await self._make_secret(found.version)
             else:
                 self.secret = found
 
     async def _make_secret(self, version: int) -> None:
-        """Write a secret in place of the row at ``version``, 0 for none."""
+        """Write a new secret if the row is still at ``version``, 0 for no row."""
         made = secrets.token_hex(SECRET_BYTES)
         row = Row(SECRET_TABLE, SECRET_KEY, made.encode(), 0)
         condition = Condition(SECRET_TABLE, SECRET_KEY, version)
@@ -197,7 +202,10 @@
             await trio.sleep(RETRY_SECONDS)
 
     def apply_rows(self, snapshot: Snapshot, is_whole: bool, as_of: float) -> None:
-        """Take over rows of the members' table."""
+        """Apply rows of the members table.
+
+        :param is_whole: whether the snapshot is the whole table, not only changes.
+        """
         before = dict(self.by_name)
         if is_whole:
             self.by_name = self._keep_missing(snapshot) if self._is_restored else {}
@@ -205,7 +213,7 @@
             found = decode_member_row(row)
             if isinstance(found, InvalidRow):
                 self._invalid_rows.note(found)
-                # What it should hold of this instance is known.
+                # The content of this instance's own row is known.
                 found = self.own if row.key == self.own.name else None
             else:
                 self._invalid_rows.clear(row.table, row.key)
@@ -214,7 +222,7 @@
                 self.by_name.pop(row.key, None)
                 self._record_left(row.key)
             elif is_whole and self._is_restored and row.key in self._left:
-                # It left after the copy was made; its row there is removed again.
+                # It left after the copy was made, so its row is removed again.
                 condition = Condition(row.table, row.key, row.version)
                 self._pending_writes.append(([condition], row._replace(value=None)))
             else:
@@ -232,7 +240,7 @@
         self._on_change()
 
     def _keep_missing(self, snapshot: Snapshot) -> dict[str, Member]:
-        """Return the instances that are known and not in a table that came back."""
+        """Return the known instances whose rows the restored table lacks."""
         there = {row.key for row in snapshot.rows}
         kept = {n: m for n, m in self.by_name.items() if n not in there}
         until = trio.current_time() + RESTORE_SECONDS
@@ -240,7 +248,7 @@
         return kept
 
     def _restore_own(self, snapshot: Snapshot) -> None:
-        """Have the own row written again if the table lacks it."""
+        """Schedule a write of this instance's row if the table lacks it."""
         own = self._make_own_row()
         is_there = any((r.key, r.value) == (own.key, own.value) for r in snapshot.rows)
         if self._is_registered and not is_there:
@@ -255,7 +263,7 @@
             del self._left[next(iter(self._left))]
 
     def expire(self) -> None:
-        """Forget instances that have not written their rows again."""
+        """Remove instances that have not written their rows again in time."""
         now = trio.current_time()
         gone = [name for name, until in self._missing.items() if now >= until]
         for name in gone:
--- a/ashpond/fleet/reconnection.py
+++ b/ashpond/fleet/reconnection.py
@@ -1,4 +1,4 @@
-"""Stay connected to a peer that is to be told news."""
+"""Keep a connection open to each peer that receives updates."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     log: DecisionLog,
     use_connection: Callable[[Link, PeerStream], Awaitable[str]],
 ) -> None:
-    """Connect to a peer, again and again, until the link is cancelled.
+    """Connect to a peer, and reconnect with backoff, until the link is cancelled.
 
-    :param converse: uses a connection to its end, and returns why it ended.
+    :param use_connection: uses a connection until it ends, and returns the reason.
     """
     pause = RECONNECT_SECONDS
     is_lost = False
--- a/ashpond/fleet/sending.py
+++ b/ashpond/fleet/sending.py
@@ -1,4 +1,4 @@
-"""Send a peer what waits for it on its link; what does not go out whole stays there."""
+"""Send what is queued on a link, and requeue what was not sent completely."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 )
 from ashpond.fleet.view import InstanceLoad
 
-# A peer that does not take a frame within this is connected to anew (seconds).
+# If a frame is not sent within this time, the connection is reopened (seconds).
 SEND_SECONDS = 1.0
 
 
 async def send_urgent(incarnation: str, link: Link, stream: PeerStream) -> None:
-    """Tell changes of tables, ends, and notices that need not wait for a digest.
+    """Send table updates, crashes, and notices that no due digest will carry.
 
-    :param life: the sender's.
+    :param incarnation: that of the sending instance.
     """
     scope = SCOPE_BY_ROLE[link.role]
     while link.tables:
@@ -45,7 +45,10 @@
 
 
 async def _send_crashes(incarnation: str, link: Link, stream: PeerStream) -> None:
-    """Tell of ends; a connection that breaks meanwhile begins by telling of all."""
+    """Send the queued crashes.
+
+    Nothing is requeued on failure: each new connection begins with all known crashes.
+    """
     if not link.crashes:
         return
     crashes = list(link.crashes)
@@ -59,9 +62,10 @@
 async def send_digest(
     incarnation: str, group: str, link: Link, stream: PeerStream, load: InstanceLoad
 ) -> None:
-    """Tell the work, and with it the notices and holdings that wait.
+    """Send the load together with the queued notices and cache entries.
 
-    :param life: the sender's, of the group ``group``.
+    :param incarnation: that of the sending instance.
+    :param group: the sender's group, empty in a flat fleet.
     """
     notices, cache_entries = link.take()
     digest = Digest(SCOPE_BY_ROLE[link.role], group, load, notices, cache_entries)
@@ -70,9 +74,9 @@
         with trio.fail_after(SEND_SECONDS):
             await stream.send(update)
     except FrameError:
-        # Too large: it would end the next connection as well.
+        # The frame is too large. If requeued, it would break the next connection too.
         raise
     except BaseException:
-        # The peer takes nothing of a message that did not go out whole.
+        # The peer ignores a message that it did not receive completely.
         link.put_back(notices, cache_entries)
         raise
--- a/ashpond/fleet/updates.py
+++ b/ashpond/fleet/updates.py
@@ -1,4 +1,4 @@
-"""What instances tell each other, as typed values and as messages."""
+"""Typed updates between instances, and their conversion to and from messages."""
 
 from __future__ import annotations
 
@@ -42,19 +42,19 @@
 from ashpond.fleet.view import InstanceLoad, Scope
 from ashpond.gateway.store import Row
 
-# Far more than any server is closed for; one that is told to be closed for ever would
-# get nothing again (seconds).
+# Upper bound of exclusions that peers may report, far above any real one (seconds).
+# A server excluded for ever by a faulty message would never get a request again.
 MAX_EXCLUDED_SECONDS = 600.0
-# In messages, for a store that tells no era.
+# Stands in messages for the era of a store that reports none.
 NO_ERA = -1
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_EXCLUDED_SECONDS)]
 
 
 class LimitNotice(NamedTuple):
-    """The rate limit that an answer of a server named.
+    """The rate limit in an answer of a backend server.
 
-    ``rate`` is in requests a second, None if it named none; ``age`` is how long ago the
-    request of that answer was sent.
+    ``rate`` is in requests per second, None if the answer gave none; ``age`` is the
+    time since the answered request was sent (seconds).
     """
 
     rate: Amount | None
@@ -62,13 +62,14 @@
 
 
 class ServerNotice(NamedTuple):
-    """A change at a backend server that the sender knows first.
-
-    ``version`` 0 tells nothing of the weights; ``closed_seconds`` is how long the
-    server should get no new work, 0 that it may again. ``is_unreached`` tells
-    that the sender could not connect, and nothing of orders. ``born`` is the start
-    of the server that the sender speaks of, None if it knows none. A notice with a
-    ``limit``, or of a server that ``is_leaving``, tells of nothing else.
+    """A change at a backend server that the sender has observed.
+
+    ``version`` is that of the weights, 0 if the notice is not about them.
+    ``excluded_seconds`` is how long the server should get no new requests; 0 readmits
+    it. ``is_unreached`` means that the sender could not connect, which says nothing
+    about weights orders. ``started_ms`` identifies the server's start that the notice
+    refers to, None if the sender does not know it. The other fields have no meaning
+    in a notice with a ``limit`` or with ``is_leaving``.
     """
 
     server_id: str
@@ -82,9 +83,9 @@
 
 
 class Digest(NamedTuple):
-    """One piece of news: whose work it is, the work, and what has happened.
+    """One regular update: a load with its scope, and queued notices and cache entries.
 
-    ``group`` is the sender's, empty in a flat fleet.
+    ``group`` is the sender's group, empty in a flat fleet.
     """
 
     scope: Scope
@@ -95,13 +96,14 @@
 
 
 class UpdateHandlers(NamedTuple):
-    """What is done with the news of others, and what is told of this instance.
-
-    ``on_ends`` gets the ends that a sender tells of and returns those that are new;
-    ``list_ends`` returns what a peer is told that has just connected. ``keep_peers``
-    gets the senders whose reports add up to the whole fleet's; ``on_table`` returns
-    whether it should be forwarded. ``serve_asker`` answers a peer that asks this
-    instance for allowances, until its connection ends.
+    """Callbacks for received updates, and for the values that this instance sends.
+
+    ``on_crashes`` gets the crashes in a message and the sender's name, and returns
+    those that are new; ``list_crashes`` returns all crashes for a peer that has just
+    connected. ``retain_peers`` gets the keys of the reports that together cover the
+    fleet. ``on_table`` returns whether the table update should be forwarded.
+    ``serve_allowances`` answers a peer that asks this instance for allowances, until
+    its connection ends.
     """
 
     on_notice: Callable[[ServerNotice], None]
@@ -116,7 +118,7 @@
 
 
 class _Change(NamedTuple):
-    """One row of a message of changes, without its table."""
+    """One row of a :class:`TableChanges` message, without its table."""
 
     key: str
     value: bytes | None
@@ -124,7 +126,10 @@
 
 
 def encode_update(sender: str, digest: Digest) -> News:
-    """Return the message that tells a digest; ``sender`` is a life."""
+    """Return the message for a digest.
+
+    :param sender: the incarnation of the sending instance.
+    """
     return News(
         sender,
         digest.scope,
@@ -137,9 +142,9 @@
 
 
 def decode_update(update: News) -> Digest:
-    """Return what a message tells.
+    """Return the digest in a message.
 
-    :raises FrameError: if it makes no sense.
+    :raises FrameError: if a value in it is not valid.
     """
     try:
         return Digest(
@@ -153,43 +158,43 @@
             convert_list(update.holdings, CacheEntry),
         )
     except ValueError as error:
-        raise FrameError(f"news that make no sense: {error!r}") from error
+        raise FrameError(f"invalid update: {error!r}") from error
 
 
 def encode_notices(sender: str, scope: Scope, notices: list[ServerNotice]) -> Notices:
-    """Return the message that tells notices alone."""
+    """Return a message with notices alone."""
     return Notices(sender, scope, [list(notice) for notice in notices])
 
 
 def decode_notices(message: Notices) -> tuple[Scope, list[ServerNotice]]:
-    """Return the scope of a message, and the notices that it tells.
+    """Return the scope of a message and its notices.
 
-    :raises FrameError: if it makes no sense.
+    :raises FrameError: if a value in it is not valid.
     """
     try:
         notices = convert_list(message.notices, ServerNotice)
         return Scope(message.scope), notices
     except ValueError as error:
-        raise FrameError(f"notices that make no sense: {error!r}") from error
+        raise FrameError(f"invalid notices: {error!r}") from error
 
 
 def encode_crashes(
     sender: str, scope: Scope, crashes: list[ServerCrash]
 ) -> ServerEndNews:
-    """Return the message that tells of ends of servers."""
+    """Return a message with crashes of backend servers."""
     return ServerEndNews(sender, scope, [list(crash) for crash in crashes])
 
 
 def decode_crashes(message: ServerEndNews) -> tuple[Scope, list[ServerCrash]]:
-    """Return the scope of a message, and the ends that it tells of.
+    """Return the scope of a message and its crashes.
 
-    :raises FrameError: if it makes no sense.
+    :raises FrameError: if a value in it is not valid.
     """
     try:
         crashes = convert_list(message.ends, ServerCrash)
         return Scope(message.scope), crashes
     except ValueError as error:
-        raise FrameError(f"ends that make no sense: {error!r}") from error
+        raise FrameError(f"invalid crashes: {error!r}") from error
 
 
 def encode_changes(sender: str, scope: Scope, update: TableUpdate) -> TableChanges:
@@ -209,9 +214,9 @@
 
 
 def decode_changes(changes: TableChanges) -> tuple[Scope, TableUpdate]:
-    """Return the scope of a message, and the changes of a table that it holds.
+    """Return the scope of a message and the table update in it.
 
-    :raises FrameError: if it makes no sense.
+    :raises FrameError: if a value in it is not valid.
     """
     try:
         scope = Scope(changes.scope)
@@ -225,7 +230,7 @@
             for change in convert_list(changes.rows, _Change)
         )
     except ValueError as error:
-        raise FrameError(f"changes that make no sense: {error!r}") from error
+        raise FrameError(f"invalid table changes: {error!r}") from error
     era = None if changes.era == NO_ERA else changes.era
     return scope, TableUpdate(
         changes.table, after, version, store_time, rows, era, changes.is_whole
--- a/ashpond/fleet/view.py
+++ b/ashpond/fleet/view.py
@@ -1,4 +1,4 @@
-"""What peers have told of their work, and what of it is passed on to whom."""
+"""The load reported by peers, and the sums of it that are forwarded."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.loads import NO_LOAD, PEER_LOAD_SECONDS, Load
 
-# A hub that has been silent for longer is no longer relied on (seconds); it sends at
-# least every 0.6 s, and a busy machine may be late once.
+# A hub whose last report is older is no longer used (seconds). Hubs send at least
+# every 0.6 s, and a busy machine may delay one report.
 HUB_TIMEOUT_SECONDS = 1.3
-# A hub adds up what it has heard once for all that it tells within this (seconds): half
-# of a turn. With 12 members and 15 other hubs, each sum took 1.0 ms of a core, a
-# hundred times a second.
+# How long a hub uses a computed sum for all receivers: half of the update interval
+# (seconds). With 12 members and 15 other hubs, each sum takes 1.0 ms of a core, and
+# without this cache a hundred sums would be computed per second.
 SUM_CACHE_SECONDS = 0.06
 
 
 class Scope(StrEnum):
-    """Whose work a peer tells: its own, its group's, or that of the whole fleet.
+    """What a peer's report covers: the peer alone, its group, or the whole fleet.
 
-    ``MEMBER`` is its own, told to the hub of its group, ``OWN`` the same among
-    equals.
+    Both ``OWN`` and ``MEMBER`` cover the peer alone: the former is sent between all
+    instances of a flat fleet, the latter by a member to the hub of its group.
     """
 
     OWN = "own"
@@ -34,7 +34,7 @@
 
 
 class InstanceLoad(NamedTuple):
-    """Work in flight by backend server, and sends of late by service."""
+    """Load in flight by backend server, and recent attempts by service."""
 
     loads: dict[str, Load]
     attempts: dict[str, AttemptCounts]
@@ -44,9 +44,10 @@
 
 
 class PeerReport(NamedTuple):
-    """The last that one life of a peer told.
+    """The last report of one incarnation of a peer.
 
-    ``peer`` is its name without its life, ``heard_at`` on this process's clock.
+    ``peer`` is its name without the incarnation, ``received_at`` a time on the clock of
+    this process.
     """
 
     peer: str
@@ -56,9 +57,9 @@
 
 
 class FleetView:
-    """The news of all peers; pure state, the time is an argument.
+    """The last reports of all peers; pure state, with the time as an argument.
 
-    :param window: for how long sends of a peer that has gone still count (seconds).
+    :param window: how long the attempts in a report count after its receipt (seconds).
     """
 
     def __init__(self, window: float):
@@ -69,15 +70,15 @@
         self._fleet = _CachedSum((Scope.MEMBER, Scope.GROUP, Scope.OWN), window)
 
     def set_hubs(self, names: Iterable[str]) -> None:
-        """Take over who may be this instance's hub, the first choice first."""
+        """Set the possible hubs of this instance, the preferred one first."""
         self._hubs = tuple(names)
 
     def note(self, key: str, source: PeerReport) -> None:
-        """Take a peer's report; ``key`` is its life, or the group it reports for."""
+        """Store a report; ``key`` is the sender's incarnation, or the covered group."""
         self._sources[key] = source
 
     def expire(self, now: float) -> None:
-        """Drop what no longer counts in any way."""
+        """Drop the reports that are older than the window."""
         self._sources = {
             incarnation: source
             for incarnation, source in self._sources.items()
@@ -85,7 +86,7 @@
         }
 
     def find_hub(self, now: float) -> str | None:
-        """Return the life of the hub that this instance relies on.
+        """Return the incarnation of the hub whose reports this instance uses.
 
         None if it has none: in a flat fleet, or as the hub of its group.
         """
@@ -97,9 +98,9 @@
         return None
 
     def list_counted(self, now: float) -> list[str]:
-        """Return the lives whose work adds up to that of all other instances.
+        """Return the keys of the reports that together cover all other instances.
 
-        A hub's report covers everyone's, so that nothing else counts beside it.
+        A hub's report covers the whole fleet, so it is counted alone.
         """
         hub = self.find_hub(now)
         if hub is not None:
@@ -111,19 +112,22 @@
         ]
 
     def sum_group(self, own: InstanceLoad, now: float) -> InstanceLoad:
-        """Return the work of this hub's group, for the other hubs."""
+        """Return the load of this hub's group, for the other hubs."""
         return _add_loads(self._group.sum_up(self._sources, now), own)
 
     def sum_fleet(self, own: InstanceLoad, receiver: str, now: float) -> InstanceLoad:
-        """Return the work of all others than ``asker``, a life of a member."""
+        """Return the load of the whole fleet without that of one member.
+
+        :param receiver: the incarnation of the member that is sent the sum.
+        """
         total = self._fleet.sum_up(self._sources, now)
         return _add_loads(total, own, self._fleet.find_part(receiver))
 
 
 class _CachedSum:
-    """The sum of what sources of some scopes told, used again for a moment.
+    """The sum of the reports of some scopes, cached for ``SUM_CACHE_SECONDS``.
 
-    :param window: for how long the sends that a source told count (seconds).
+    :param window: how long the attempts in a report count after its receipt (seconds).
     """
 
     def __init__(self, scopes: tuple[Scope, ...], window: float):
@@ -134,7 +138,7 @@
         self._parts: dict[str, InstanceLoad] = {}
 
     def sum_up(self, sources: Mapping[str, PeerReport], now: float) -> InstanceLoad:
-        """Return the sum as of a moment ago."""
+        """Return the sum, which is up to ``SUM_CACHE_SECONDS`` old."""
         if not 0 <= now - self._summed_at < SUM_CACHE_SECONDS:
             self._summed_at = now
             self._parts = {
@@ -146,7 +150,7 @@
         return self._total
 
     def find_part(self, key: str) -> InstanceLoad:
-        """Return what of the last sum is from one source."""
+        """Return what one report contributed to the last sum."""
         return self._parts.get(key, EMPTY_LOAD)
 
     def _drop_outdated(self, source: PeerReport, now: float) -> InstanceLoad:
@@ -159,7 +163,7 @@
 
 def _sum_loads(works: Iterable[InstanceLoad]) -> InstanceLoad:
     # Plain lists: a new tuple for each of some thousand additions takes three times
-    # as long, and a hub adds up the servers of sixteen groups eight times a second.
+    # as long, and a hub sums the servers of sixteen groups eight times per second.
     loads: dict[str, list[int]] = {}
     attempts: dict[str, AttemptCounts] = {}
     for work in works:
@@ -180,7 +184,7 @@
 def _add_loads(
     total: InstanceLoad, more: InstanceLoad, less: InstanceLoad = EMPTY_LOAD
 ) -> InstanceLoad:
-    """Return a sum with a part added and another, which it contains, taken out."""
+    """Return ``total`` plus ``more``, minus ``less``, which ``total`` contains."""
     loads = dict(total.loads)
     for server_id, load in less.loads.items():
         left = loads.pop(server_id).subtract(load)
