--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -40,14 +40,14 @@
     Link,
     PeerRole,
     UpdateMessage,
+    get_peer_name,
     is_first_reachable,
     is_relied_on,
     limit_cache_entries,
     list_required_links,
     receive_first,
     receive_update,
-    run_until_first_end,
-    strip_incarnation,
+    run_until_end,
 )
 from ashpond.fleet.members import Members
 from ashpond.fleet.reconnection import MAX_FRAME_BYTES, keep_connected
@@ -87,7 +87,7 @@
         self._table = table
         self._log = log
         self._handlers = handlers
-        self._incarnation = f"{self._name}#{secrets.token_hex(INCARNATION_BYTES)}"
+        self._sender_id = f"{self._name}#{secrets.token_hex(INCARNATION_BYTES)}"
         self._outgoing: dict[tuple[PeerRole, Member], Link] = {}
         self._own_members: list[Link] = []
         self._counted: set[str] = set()
@@ -133,7 +133,7 @@
     def publish(self, update: TableUpdate) -> None:
         """Send changes read from the store: a reader to all, a hub to its group."""
         scope = Scope.MEMBER if self.is_reader else Scope.GROUP
-        self._forward(scope, self._incarnation, tables=[update])
+        self._forward(scope, self._sender_id, tables=[update])
 
     async def run(
         self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
@@ -195,19 +195,15 @@
             self._log.note("news_hub", is_hub=self._is_hub, hubs=hubs)
 
     async def _keep_connected(self, link: Link, address: str) -> None:
-        await keep_connected(
-            link, address, self.members, self._log, self._use_connection
-        )
+        await keep_connected(link, address, self.members, self._log, self._run_link)
 
-    async def _use_connection(self, link: Link, stream: PeerStream) -> str:
+    async def _run_link(self, link: Link, stream: PeerStream) -> str:
         """Send updates, and receive those of a hub; return why the connection ended."""
         link.is_connected = True
         try:
             if link.role is not PeerRole.HUB:
-                return await run_until_first_end(
-                    lambda: self._send_updates(link, stream)
-                )
-            return await run_until_first_end(
+                return await run_until_end(lambda: self._send_updates(link, stream))
+            return await run_until_end(
                 lambda: self._send_updates(link, stream),
                 lambda: self._receive_updates(stream),
             )
@@ -241,27 +237,25 @@
         link.crashes.clear()
         link.add(crashes=self._handlers.list_crashes())
         while True:
-            await send_urgent(self._incarnation, link, stream)
+            await send_urgent(self._sender_id, link, stream)
             if link.is_due:
                 link.is_due = False
                 now = trio.current_time()
                 load = self._build_load(link, now)
-                await send_digest(
-                    self._incarnation, self.links.group, link, stream, load
-                )
-                link.sent = load
+                await send_digest(self._sender_id, self.links.group, link, stream, load)
+                link.last_load = load
                 link.sent_at = now
             await link.wait()
 
     def _is_due(self, link: Link, now: float) -> bool:
         """Return whether a peer should be sent the load and the queued values."""
-        if link.sent is None or now - link.sent_at >= HEARTBEAT_SECONDS:
+        if link.last_load is None or now - link.sent_at >= HEARTBEAT_SECONDS:
             return True
         if not self._needs_updates(link):
             return False
         if link.notices or link.cache_entries or link.tables:
             return True
-        return self._build_load(link, now).loads != link.sent.loads
+        return self._build_load(link, now).loads != link.last_load.loads
 
     def _build_load(self, link: Link, now: float) -> InstanceLoad:
         own = InstanceLoad(self._table.list_own_loads(), self._handlers.list_attempts())
@@ -297,7 +291,7 @@
             first = await receive_first(stream)
             if isinstance(first, AllowanceAsk):
                 serve = self._handlers.serve_allowances
-                reason = await run_until_first_end(lambda: serve(first, stream))
+                reason = await run_until_end(lambda: serve(first, stream))
             else:
                 reason = await self._handle_updates(first, stream)
         except PEER_ERRORS as error:
@@ -312,14 +306,14 @@
         self._apply(first)
         if first.scope == Scope.MEMBER:
             return await self._serve_member(first.sender, stream)
-        return await run_until_first_end(lambda: self._receive_updates(stream))
+        return await run_until_end(lambda: self._receive_updates(stream))
 
     async def _serve_member(self, incarnation: str, stream: PeerStream) -> str:
         limit = self._limit_cache_entries(PeerRole.MEMBER)
         link = Link(PeerRole.MEMBER, incarnation, limit)
         self._own_members.append(link)
         try:
-            return await run_until_first_end(
+            return await run_until_end(
                 lambda: self._send_updates(link, stream),
                 lambda: self._receive_updates(stream),
             )
@@ -350,8 +344,8 @@
     def _apply_crashes(
         self, sender: str, scope: Scope, crashes: list[ServerCrash]
     ) -> None:
-        update = self._handlers.on_crashes(crashes, strip_incarnation(sender))
-        self._forward(scope, sender, crashes=update)
+        new = self._handlers.on_crashes(crashes, get_peer_name(sender))
+        self._forward(scope, sender, crashes=new)
 
     def _apply_notices(
         self, sender: str, scope: Scope, notices: list[ServerNotice]
@@ -364,9 +358,7 @@
         now = trio.current_time()
         scope = digest.scope
         key = f"group {digest.group}" if scope is Scope.GROUP else sender
-        self.view.note(
-            key, PeerReport(strip_incarnation(sender), scope, now, digest.load)
-        )
+        self.view.add(key, PeerReport(get_peer_name(sender), scope, now, digest.load))
         self._retain_counted(now)
         if key in self._counted:
             self._table.note_peer_loads(key, digest.load.loads, now)
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -8,14 +8,14 @@
     "Link",
     "PeerRole",
     "UpdateMessage",
+    "get_peer_name",
     "is_first_reachable",
     "is_relied_on",
     "limit_cache_entries",
     "list_required_links",
     "receive_first",
     "receive_update",
-    "run_until_first_end",
-    "strip_incarnation",
+    "run_until_end",
 ]
 
 from collections import deque
@@ -89,27 +89,27 @@
 
 
 def limit_cache_entries(
-    role: PeerRole, link_mbps: float, groups: int, turn: float
+    role: PeerRole, link_mbps: float, groups: int, interval: float
 ) -> int:
     """Return how many cache entries an instance may send a peer with one update.
 
     :param link_mbps: the rate of its machine's network link, 0 if unknown.
     :param groups: the number of other groups; its own group has about as many members.
-    :param turn: the interval between two updates (seconds).
+    :param interval: the interval between two updates (seconds).
     """
     if role is PeerRole.EQUAL:
         return MAX_PENDING_CACHE_ENTRIES
-    bytes_a_turn = link_mbps * BYTES_PER_MBIT * CACHE_ENTRIES_SHARE * turn
+    bytes_per_update = link_mbps * BYTES_PER_MBIT * CACHE_ENTRIES_SHARE * interval
     links = 2 * max(1, groups)
-    fitting = int(bytes_a_turn / (links * CACHE_ENTRY_BYTES))
-    return max(MIN_GROUP_CACHE_ENTRIES, min(MAX_GROUP_CACHE_ENTRIES, fitting))
+    fitting_entries = int(bytes_per_update / (links * CACHE_ENTRY_BYTES))
+    return max(MIN_GROUP_CACHE_ENTRIES, min(MAX_GROUP_CACHE_ENTRIES, fitting_entries))
 
 
 class Link:
     """One peer that receives updates, and what is queued for it.
 
     ``name`` is the peer's name, or its incarnation for a member of this instance's
-    group. ``sent`` is the load in the last update, sent at ``sent_at``; ``is_due``
+    group. ``last_load`` is the load in the last update, sent at ``sent_at``; ``is_due``
     means that another one should be sent. Only the first ``max_cache_entries`` queued
     cache entries are kept.
     """
@@ -125,7 +125,7 @@
         self.max_cache_entries = max_cache_entries
         self.scope = trio.CancelScope()
         self.is_connected = False
-        self.sent: InstanceLoad | None = None
+        self.last_load: InstanceLoad | None = None
         self.sent_at = float("-inf")
         self.is_due = False
         self._signal = trio.Event()
@@ -162,13 +162,13 @@
         await self._signal.wait()
         self._signal = trio.Event()
 
-    def take(self) -> tuple[list[ServerNotice], list[CacheEntry]]:
+    def take_pending(self) -> tuple[list[ServerNotice], list[CacheEntry]]:
         """Remove and return the queued notices and cache entries."""
         notices, self.notices = self.notices, []
         cache_entries, self.cache_entries = self.cache_entries, []
         return notices, cache_entries
 
-    def put_back(
+    def requeue(
         self, notices: list[ServerNotice], cache_entries: list[CacheEntry]
     ) -> None:
         """Requeue what was taken and not sent, before what was queued since."""
@@ -199,7 +199,7 @@
     if link.role is PeerRole.MEMBER:
         return is_hub
     if link.role is PeerRole.HUB:
-        return hub is None or strip_incarnation(hub) == link.name
+        return hub is None or get_peer_name(hub) == link.name
     return True
 
 
@@ -223,7 +223,7 @@
     return True
 
 
-async def run_until_first_end(*tasks: Callable[[], Awaitable[None]]) -> str:
+async def run_until_end(*tasks: Callable[[], Awaitable[None]]) -> str:
     """Run tasks until the first one ends; return the errors that ended them."""
     reasons: list[str] = []
     async with trio.open_nursery() as nursery:
@@ -240,7 +240,7 @@
     return ", ".join(reasons)
 
 
-def strip_incarnation(incarnation: str) -> str:
+def get_peer_name(incarnation: str) -> str:
     """Return the name of the instance of an incarnation."""
     return incarnation.rpartition("#")[0]
 
--- a/ashpond/fleet/reconnection.py
+++ b/ashpond/fleet/reconnection.py
@@ -23,11 +23,11 @@
     address: str,
     members: Members,
     log: DecisionLog,
-    use_connection: Callable[[Link, PeerStream], Awaitable[str]],
+    run_link: Callable[[Link, PeerStream], Awaitable[str]],
 ) -> None:
     """Connect to a peer, and reconnect with backoff, until the link is cancelled.
 
-    :param use_connection: uses a connection until it ends, and returns the reason.
+    :param run_link: uses a connection until it ends, and returns the reason.
     """
     pause = RECONNECT_SECONDS
     is_lost = False
@@ -43,7 +43,7 @@
                     log.note("peer_regained", peer=link.name)
                 is_lost = False
                 pause = RECONNECT_SECONDS
-                reason = await use_connection(link, stream)
+                reason = await run_link(link, stream)
             except PEER_ERRORS as error:
                 reason = repr(error)
             if not is_lost:
--- a/ashpond/fleet/sending.py
+++ b/ashpond/fleet/sending.py
@@ -40,7 +40,7 @@
         with trio.fail_after(SEND_SECONDS):
             await stream.send(encode_notices(incarnation, scope, notices))
     except BaseException:
-        link.put_back(notices, [])
+        link.requeue(notices, [])
         raise
 
 
@@ -67,7 +67,7 @@
     :param incarnation: that of the sending instance.
     :param group: the sender's group, empty in a flat fleet.
     """
-    notices, cache_entries = link.take()
+    notices, cache_entries = link.take_pending()
     digest = Digest(SCOPE_BY_ROLE[link.role], group, load, notices, cache_entries)
     update = encode_update(incarnation, digest)
     try:
@@ -78,5 +78,5 @@
         raise
     except BaseException:
         # The peer ignores a message that it did not receive completely.
-        link.put_back(notices, cache_entries)
+        link.requeue(notices, cache_entries)
         raise
--- a/ashpond/fleet/view.py
+++ b/ashpond/fleet/view.py
@@ -53,7 +53,7 @@
     peer: str
     scope: Scope
     received_at: float
-    work: InstanceLoad
+    load: InstanceLoad
 
 
 class FleetView:
@@ -64,7 +64,7 @@
 
     def __init__(self, window: float):
         self.window = window
-        self._sources: dict[str, PeerReport] = {}
+        self._reports: dict[str, PeerReport] = {}
         self._hubs: tuple[str, ...] = ()
         self._group = _CachedSum((Scope.MEMBER,), window)
         self._fleet = _CachedSum((Scope.MEMBER, Scope.GROUP, Scope.OWN), window)
@@ -73,16 +73,16 @@
         """Set the possible hubs of this instance, the preferred one first."""
         self._hubs = tuple(names)
 
-    def note(self, key: str, source: PeerReport) -> None:
+    def add(self, key: str, report: PeerReport) -> None:
         """Store a report; ``key`` is the sender's incarnation, or the covered group."""
-        self._sources[key] = source
+        self._reports[key] = report
 
     def expire(self, now: float) -> None:
         """Drop the reports that are older than the window."""
-        self._sources = {
-            incarnation: source
-            for incarnation, source in self._sources.items()
-            if now - source.received_at <= self.window
+        self._reports = {
+            incarnation: report
+            for incarnation, report in self._reports.items()
+            if now - report.received_at <= self.window
         }
 
     def find_hub(self, now: float) -> str | None:
@@ -91,9 +91,9 @@
         None if it has none: in a flat fleet, or as the hub of its group.
         """
         for name in self._hubs:
-            for incarnation, source in self._sources.items():
-                is_fresh = now - source.received_at <= HUB_TIMEOUT_SECONDS
-                if source.peer == name and source.scope is Scope.FLEET and is_fresh:
+            for incarnation, report in self._reports.items():
+                is_fresh = now - report.received_at <= HUB_TIMEOUT_SECONDS
+                if report.peer == name and report.scope is Scope.FLEET and is_fresh:
                     return incarnation
         return None
 
@@ -107,21 +107,21 @@
             return [hub]
         return [
             incarnation
-            for incarnation, s in self._sources.items()
+            for incarnation, s in self._reports.items()
             if s.scope is not Scope.FLEET
         ]
 
     def sum_group(self, own: InstanceLoad, now: float) -> InstanceLoad:
         """Return the load of this hub's group, for the other hubs."""
-        return _add_loads(self._group.sum_up(self._sources, now), own)
+        return _add_loads(self._group.sum_up(self._reports, now), own)
 
     def sum_fleet(self, own: InstanceLoad, receiver: str, now: float) -> InstanceLoad:
         """Return the load of the whole fleet without that of one member.
 
         :param receiver: the incarnation of the member that is sent the sum.
         """
-        total = self._fleet.sum_up(self._sources, now)
-        return _add_loads(total, own, self._fleet.find_part(receiver))
+        total = self._fleet.sum_up(self._reports, now)
+        return _add_loads(total, own, self._fleet.find_contribution(receiver))
 
 
 class _CachedSum:
@@ -135,39 +135,39 @@
         self._window = window
         self._summed_at = float("-inf")
         self._total = EMPTY_LOAD
-        self._parts: dict[str, InstanceLoad] = {}
+        self._contributions: dict[str, InstanceLoad] = {}
 
-    def sum_up(self, sources: Mapping[str, PeerReport], now: float) -> InstanceLoad:
+    def sum_up(self, reports: Mapping[str, PeerReport], now: float) -> InstanceLoad:
         """Return the sum, which is up to ``SUM_CACHE_SECONDS`` old."""
         if not 0 <= now - self._summed_at < SUM_CACHE_SECONDS:
             self._summed_at = now
-            self._parts = {
-                key: self._drop_outdated(source, now)
-                for key, source in sources.items()
-                if source.scope in self._scopes
+            self._contributions = {
+                key: self._drop_outdated(report, now)
+                for key, report in reports.items()
+                if report.scope in self._scopes
             }
-            self._total = _sum_loads(self._parts.values())
+            self._total = _sum_loads(self._contributions.values())
         return self._total
 
-    def find_part(self, key: str) -> InstanceLoad:
+    def find_contribution(self, key: str) -> InstanceLoad:
         """Return what one report contributed to the last sum."""
-        return self._parts.get(key, EMPTY_LOAD)
+        return self._contributions.get(key, EMPTY_LOAD)
 
-    def _drop_outdated(self, source: PeerReport, now: float) -> InstanceLoad:
-        age = now - source.received_at
+    def _drop_outdated(self, report: PeerReport, now: float) -> InstanceLoad:
+        age = now - report.received_at
         return InstanceLoad(
-            source.work.loads if age < PEER_LOAD_SECONDS else {},
-            source.work.attempts if age <= self._window else {},
+            report.load.loads if age < PEER_LOAD_SECONDS else {},
+            report.load.attempts if age <= self._window else {},
         )
 
 
-def _sum_loads(works: Iterable[InstanceLoad]) -> InstanceLoad:
+def _sum_loads(instance_loads: Iterable[InstanceLoad]) -> InstanceLoad:
     # Plain lists: a new tuple for each of some thousand additions takes three times
     # as long, and a hub sums the servers of sixteen groups eight times per second.
     loads: dict[str, list[int]] = {}
     attempts: dict[str, AttemptCounts] = {}
-    for work in works:
-        for server_id, load in work.loads.items():
+    for instance_load in instance_loads:
+        for server_id, load in instance_load.loads.items():
             total = loads.get(server_id)
             if total is None:
                 loads[server_id] = list(load)
@@ -176,7 +176,7 @@
             total[1] += load[1]
             total[2] += load[2]
             total[3] += load[3]
-        for service, counts in work.attempts.items():
+        for service, counts in instance_load.attempts.items():
             attempts[service] = attempts.get(service, AttemptCounts()).add(counts)
     return InstanceLoad({key: Load(*total) for key, total in loads.items()}, attempts)
 
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -16,7 +16,7 @@
 from ashpond.decisions.allowances import Allowance, AllowanceBounds, AllowanceUnit
 from ashpond.decisions.declared import Declaration, Team
 from ashpond.decisions.fleetlinks import Member
-from ashpond.fleet.links import run_until_first_end
+from ashpond.fleet.links import run_until_end
 from ashpond.gateway.decisionlog import DecisionLog
 from ashpond.outcomes import Refusal
 from tests.gateway_builders import KEY, make_declaration, make_server, make_table
@@ -238,7 +238,7 @@
 
         # When a process ends, its kernel closes the connection.
         near_end = client_end._source
-        await run_until_first_end(
+        await run_until_end(
             lambda: request_wire.deliver(near_end),  # type: ignore[arg-type]
             lambda: reply_wire.deliver(server_end._source),  # type: ignore[arg-type]
             answer,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -45,16 +45,16 @@
     def __init__(self, servers: list[BackendServer]):
         self.versions = {server.id: 1 for server in servers}
         self.accepted = dict.fromkeys(self.versions, 0)
-        self.born = dict.fromkeys(self.versions, 1000)
+        self.started_ms = dict.fromkeys(self.versions, 1000)
         self.loading = dict.fromkeys(self.versions, 0)
         self.load_seconds = LOAD_SECONDS
         self.most_loading = 0
         self.orders: list[SentOrder] = []
-        self.lost = 0
+        self.orders_to_lose = 0
         self.down: set[str] = set()
         # An engine that loads this version ends, and is away for a while.
-        self.deadly_version: int | None = None
-        self.ends = 0
+        self.crashing_version: int | None = None
+        self.crashes = 0
         self.nursery: trio.Nursery | None = None
 
     def build_port(self) -> EnginePort:
@@ -64,8 +64,8 @@
         self.orders.append(SentOrder(trio.current_time(), server.id, order))
         if server.id in self.down:
             return NotRun("refused")
-        if self.lost:
-            self.lost -= 1
+        if self.orders_to_lose:
+            self.orders_to_lose -= 1
             await trio.sleep(0.3)
             assert self.nursery is not None
             self.nursery.start_soon(self._carry_out_late, server.id, order)
@@ -94,17 +94,17 @@
 
     def restart(self, server_id: str) -> None:
         """End an engine, and start it again with the weights that it had."""
-        self.born[server_id] += 1
+        self.started_ms[server_id] += 1
         self.accepted[server_id] = 0
         self.loading[server_id] = 0
 
     async def _load(self, server_id: str) -> None:
-        born = self.born[server_id]
+        started_ms = self.started_ms[server_id]
         await trio.sleep(self.load_seconds)
-        if self.born[server_id] != born:
+        if self.started_ms[server_id] != started_ms:
             return
-        if self.loading[server_id] == self.deadly_version:
-            self.ends += 1
+        if self.loading[server_id] == self.crashing_version:
+            self.crashes += 1
             self.restart(server_id)
             self.down.add(server_id)
             await trio.sleep(AWAY_SECONDS)
@@ -120,7 +120,7 @@
             {MODEL: self.versions[server.id]},
             bool(self.loading[server.id]),
             self.accepted[server.id],
-            self.born[server.id],
+            self.started_ms[server.id],
         )
 
     async def read_cache_events(
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -24,7 +24,7 @@
 
 # Ten instances in one process, on a machine that may be busy: their news have to come
 # within 1.5 s of each other to add up.
-PATIENCE_SECONDS = 60.0
+WAIT_SECONDS = 60.0
 WINDOW_SECONDS = 10.0
 
 
@@ -124,6 +124,6 @@
 
 
 async def wait_for(condition: Callable[[], bool]) -> None:
-    with trio.fail_after(PATIENCE_SECONDS):
+    with trio.fail_after(WAIT_SECONDS):
         while not condition():
             await trio.sleep(0.01)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -39,7 +39,7 @@
     return [Instance(f"i{n}", store, find_free_port()) for n in range(3)]
 
 
-async def test_loads_notices_and_holdings_reach_all_peers(
+async def test_loads_notices_and_cache_entries_reach_all_peers(
     instances: list[Instance],
 ) -> None:
     first, *others = instances
@@ -89,7 +89,7 @@
     assert reached == ["agreed"]
 
 
-async def test_a_member_that_leaves_is_no_longer_told(
+async def test_a_member_that_left_receives_no_updates(
     instances: list[Instance],
 ) -> None:
     first, second, third = instances
@@ -112,7 +112,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_news_that_make_no_sense_are_left_out(instances: list[Instance]) -> None:
+def test_invalid_updates_are_ignored(instances: list[Instance]) -> None:
     instance = instances[0]
     instance.peers._apply(News("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
     instance.peers._apply(News("i1#1", "own", "", {}, [["too", "few"]], [], {}))
@@ -122,7 +122,7 @@
     assert instance.notices == []
 
 
-def test_changes_that_make_no_sense_are_left_out(instances: list[Instance]) -> None:
+def test_invalid_table_changes_are_ignored(instances: list[Instance]) -> None:
     instance = instances[0]
     for rows in ([["key", b"value"]], ["key"], [["key", b"value", "x"]]):
         changes = TableChanges("i1#1", "group", "op", 1, 2, 0.5, rows, 1, False)
@@ -132,7 +132,7 @@
     assert instance.tables == []
 
 
-async def test_both_ends_notice_a_peer_that_falls_silent(
+async def test_both_ends_detect_a_dead_connection(
     instances: list[Instance], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection may go silent for good without a reset, while new ones work."""
@@ -162,7 +162,7 @@
     assert find_free_port() != find_free_port()
 
 
-class FailingStream:
+class BrokenStream:
     """A connection on which no message goes out whole."""
 
     def __init__(self, error: Exception | None) -> None:
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("error", [trio.BrokenResourceError(), None])
-async def test_news_that_did_not_go_out_are_told_on_the_next_connection(
+async def test_updates_not_sent_completely_are_sent_on_the_next_connection(
     error: Exception | None, instances: list[Instance], autojump_clock: object
 ) -> None:
     """A link ends, by an error or the timeout of sending, in the midst of news.
@@ -192,49 +192,52 @@
     notice, newer = ServerNotice("a", "m1", 2, 0.0), ServerNotice("a", "m1", 3, 0.0)
     cache_entry = CacheEntry("a", "salt", "rules")
     link.add([notice], [cache_entry])
-    stream: Any = FailingStream(error)
+    stream: Any = BrokenStream(error)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(instances[0].peers._use_connection, link, stream)
+        nursery.start_soon(instances[0].peers._run_link, link, stream)
         await stream.is_sending.wait()
         link.add([newer])
-    assert link.take() == ([notice, newer], [cache_entry])
+    assert link.take_pending() == ([notice, newer], [cache_entry])
 
 
-async def test_news_too_large_for_a_frame_are_not_kept(
+async def test_updates_too_large_for_a_frame_are_dropped(
     instances: list[Instance],
 ) -> None:
     """Kept, they would end each connection to that peer."""
     link = Link(PeerRole.EQUAL, "i1")
     link.add([ServerNotice("a", "m1", 2, 0.0)])
-    stream: Any = FailingStream(FrameError("too large"))
-    await instances[0].peers._use_connection(link, stream)
-    assert link.take() == ([], [])
+    stream: Any = BrokenStream(FrameError("too large"))
+    await instances[0].peers._run_link(link, stream)
+    assert link.take_pending() == ([], [])
 
 
-def test_in_a_group_few_holdings_wait_for_a_turn() -> None:
+def test_in_a_group_few_cache_entries_are_queued() -> None:
     """Hubs that passed all of them on had their links choked on a scale day."""
     cache_entries = [CacheEntry("a", "salt", f"part{n}") for n in range(100)]
     for role in PeerRole:
-        most = MAX_GROUP_CACHE_ENTRIES if role is not PeerRole.EQUAL else 200
-        link = Link(role, "i1", most)
+        limit = MAX_GROUP_CACHE_ENTRIES if role is not PeerRole.EQUAL else 200
+        link = Link(role, "i1", limit)
         link.add(cache_entries=cache_entries)
         link.add(cache_entries=cache_entries)
-        assert len(link.cache_entries) == most
+        assert len(link.cache_entries) == limit
 
 
-def test_a_hub_tells_as_many_holdings_as_its_link_bears() -> None:
+def test_a_hub_sends_as_many_cache_entries_as_its_link_carries() -> None:
     """A narrow machine's link has to carry answers; a wide one loses two of three."""
-    turn = 0.12
+    interval = 0.12
     assert (
-        limit_cache_entries(PeerRole.MEMBER, 200.0, 15, turn) == MAX_GROUP_CACHE_ENTRIES
+        limit_cache_entries(PeerRole.MEMBER, 200.0, 15, interval)
+        == MAX_GROUP_CACHE_ENTRIES
     )
     assert (
-        limit_cache_entries(PeerRole.MEMBER, 20.0, 15, turn) == MIN_GROUP_CACHE_ENTRIES
+        limit_cache_entries(PeerRole.MEMBER, 20.0, 15, interval)
+        == MIN_GROUP_CACHE_ENTRIES
     )
     assert (
-        limit_cache_entries(PeerRole.MEMBER, 0.0, 15, turn) == MIN_GROUP_CACHE_ENTRIES
+        limit_cache_entries(PeerRole.MEMBER, 0.0, 15, interval)
+        == MIN_GROUP_CACHE_ENTRIES
     )
-    between = limit_cache_entries(PeerRole.OTHER_HUB, 60.0, 15, turn)
+    between = limit_cache_entries(PeerRole.OTHER_HUB, 60.0, 15, interval)
     assert MIN_GROUP_CACHE_ENTRIES < between < MAX_GROUP_CACHE_ENTRIES
-    spent = between * CACHE_ENTRY_BYTES * 30 / turn
+    spent = between * CACHE_ENTRY_BYTES * 30 / interval
     assert spent <= 60.0 * BYTES_PER_MBIT * CACHE_ENTRIES_SHARE
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -62,7 +62,7 @@
     return instance.peers.is_hub or hub is not None
 
 
-async def test_groups_tell_loads_sends_and_notices_through_their_hubs(
+async def test_loads_attempts_and_notices_cross_groups_through_hubs(
     grouped: list[Instance],
 ) -> None:
     notice = ServerNotice("a", "m1", 2, 0.5)
@@ -74,25 +74,25 @@
             instance.table.by_id["a"].load = Load(number, 10, 20, 1)
         await wait_for(lambda: all(i.sum_load().requests == 45 for i in grouped))
         await wait_for(lambda: all(i.sum_attempts() == (100, 20) for i in grouped))
-        speaker = next(i for i in grouped if not i.peers.is_hub)
-        speaker.peers.announce(notice)
-        speaker.peers.send_cache_entry(cache_entry)
-        others = [i for i in grouped if i is not speaker]
+        sender = next(i for i in grouped if not i.peers.is_hub)
+        sender.peers.announce(notice)
+        sender.peers.send_cache_entry(cache_entry)
+        others = [i for i in grouped if i is not sender]
         await wait_for(lambda: all(notice in i.notices for i in others))
         await wait_for(lambda: all(cache_entry in i.cache_entries for i in others))
-        assert notice not in speaker.notices
+        assert notice not in sender.notices
 
 
-async def test_groups_tell_ends_of_servers_and_who_is_new_hears_of_all(
+async def test_crashes_reach_all_groups_and_an_instance_that_has_just_joined(
     grouped: list[Instance],
 ) -> None:
     crash = make_crash("a")
     *running_now, late = grouped
     async with running(grouped):
         late.scope.cancel()
-        speaker = next(i for i in running_now if not i.peers.is_hub)
-        speaker.crashes.append(crash)
-        speaker.peers.send_crashes([crash])
+        sender = next(i for i in running_now if not i.peers.is_hub)
+        sender.crashes.append(crash)
+        sender.peers.send_crashes([crash])
         await wait_for(lambda: all(crash in i.crashes for i in running_now))
         assert all(i.crashes.count(crash) == 1 for i in running_now)
         late.crashes.clear()
@@ -103,7 +103,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def test_a_group_goes_by_its_next_candidate_when_its_hub_is_gone(
+async def test_a_groups_next_candidate_replaces_a_lost_hub(
     grouped: list[Instance],
 ) -> None:
     async with running(grouped):
@@ -121,7 +121,7 @@
         await wait_for(lambda: all(i.sum_load().requests == 9 for i in rest))
 
 
-async def test_a_member_hears_its_own_work_from_no_one(grouped: list[Instance]) -> None:
+async def test_a_members_own_load_is_not_counted_twice(grouped: list[Instance]) -> None:
     async with running(grouped):
         member = next(i for i in grouped if not i.peers.is_hub)
         member.table.by_id["a"].load = Load(7, 10, 20, 1)
@@ -132,7 +132,9 @@
         assert member.sum_load().requests == 7
 
 
-async def test_what_a_reader_learns_reaches_all_groups(grouped: list[Instance]) -> None:
+async def test_table_updates_of_a_reader_reach_all_groups(
+    grouped: list[Instance],
+) -> None:
     row = Row("op", "config", b"new", 7)
     news = TableUpdate("op", 6, 7, 1000.5, (row, Row("op", "old", None, 7)))
     async with running(grouped):
@@ -143,7 +145,7 @@
         await wait_for(lambda: all(news in i.tables for i in others))
 
 
-async def test_what_a_hub_asks_for_itself_goes_to_its_own_group_only(
+async def test_table_updates_of_a_hub_that_is_no_reader_stay_in_its_group(
     grouped: list[Instance],
 ) -> None:
     """Other hubs that heard of each such answer would ask the store in turn."""
@@ -157,11 +159,11 @@
         await wait_for(lambda: bool(list_hubs()))
         hub = list_hubs()[0]
         hub.peers.publish(news)
-        told = {link.role for link in hub.peers.list_links() if news in link.tables}
-        assert told == {PeerRole.MEMBER}
+        received = {link.role for link in hub.peers.list_links() if news in link.tables}
+        assert received == {PeerRole.MEMBER}
 
 
-async def test_what_a_stand_by_need_not_hear_keeps_no_one_busy(
+async def test_a_notice_queued_for_a_standby_hub_does_not_spin_the_sender(
     grouped: list[Instance],
 ) -> None:
     """A notice that waited for the next heartbeat once kept its sender spinning."""
@@ -191,7 +193,7 @@
         assert sends < 30
 
 
-async def test_a_group_is_told_all_by_its_first_candidate_only(
+async def test_only_the_first_connected_candidate_of_a_group_is_sent_updates(
     grouped: list[Instance],
 ) -> None:
     async with running(grouped):
@@ -207,7 +209,7 @@
         assert hub.peers._needs_updates(second)
 
 
-async def test_an_instance_whose_row_is_not_there_yet_links_as_a_member() -> None:
+async def test_an_instance_without_its_own_row_links_as_a_member() -> None:
     """Instances that started among 195 linked to each that they had read of."""
     store = MemoryStore()
     instance = Instance("new", store, find_free_port(), mesh_limit=4)
@@ -227,12 +229,12 @@
     assert len(started) < len(names) / 2
 
 
-async def test_an_instance_that_starts_follows_the_tables_itself() -> None:
+async def test_an_instance_that_starts_reads_the_store_itself() -> None:
     """While it read for nobody, it slept up to 20 s before it saw who else there is."""
     assert Instance("i0", MemoryStore(), find_free_port()).peers.is_reader
 
 
-async def test_what_is_urgent_is_told_at_once_and_without_the_work_of_all(
+async def test_urgent_notices_are_sent_at_once_without_all_loads(
     autojump_clock: object,
 ) -> None:
     """While weights were loaded, a hub's members were told all 30 times a second."""
@@ -258,11 +260,11 @@
     urgent = [message for message in sent if isinstance(message, Notices)]
     assert len(digests) <= 1.05 / UPDATE_SECONDS + 1
     assert len(urgent) >= 80
-    told = [n for message in sent for n in message.notices]  # type: ignore[attr-defined]
-    assert sorted(notice[2] for notice in told) == list(range(1, 101))
+    received = [n for message in sent for n in message.notices]  # type: ignore[attr-defined]
+    assert sorted(notice[2] for notice in received) == list(range(1, 101))
 
 
-async def test_a_hub_passes_on_what_is_urgent(grouped: list[Instance]) -> None:
+async def test_a_hub_forwards_urgent_notices(grouped: list[Instance]) -> None:
     async with running(grouped):
         hub = next(i for i in grouped if i.peers.is_hub)
         member = next(i for i in grouped if not i.peers.is_hub)
@@ -273,7 +275,7 @@
         assert hub.peers.is_hub
 
 
-async def test_a_link_that_has_nothing_to_tell_wakes_up_for_heartbeats_only(
+async def test_a_link_without_changes_wakes_up_for_heartbeats_only(
     autojump_clock: object,
 ) -> None:
     """Each of a hub's 43 links woke up eight times a second, and at each notice."""
@@ -302,7 +304,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_hub_adds_up_nothing_for_those_that_stand_by(
+async def test_a_hub_builds_no_load_for_standby_hubs(
     autojump_clock: object,
 ) -> None:
     """Of a hub's 38 links 15 stand by: it added up for each of them each turn."""
@@ -320,7 +322,7 @@
     for member in (first, standby):
         link = Link(PeerRole.OTHER_HUB, member.name)
         link.is_connected = True
-        link.sent, link.sent_at = build(link, 0.0), 0.0
+        link.last_load, link.sent_at = build(link, 0.0), 0.0
         instance.peers._outgoing[PeerRole.OTHER_HUB, member] = link
     now = HEARTBEAT_SECONDS / 2
     assert not any(
--- a/tests/test_late_updates.py
+++ b/tests/test_late_updates.py
@@ -28,8 +28,8 @@
 ENGINES = 24
 READ_SECONDS_PER_TOKEN = 1 / 57_000
 ANSWER_SECONDS = 0.8
-NEWS_SECONDS = 0.12
-PLAY_SECONDS = 8.0
+UPDATE_SECONDS = 0.12
+SIMULATED_SECONDS = 8.0
 WARM_SECONDS = 2.0
 SUBJECTS = 200
 # Engines read for 0.6 of the time, if their work is spread evenly.
@@ -43,10 +43,10 @@
     number: int
     action: str
     instance: int = 0
-    place: Reservation | None = None
+    reservation: Reservation | None = None
 
 
-class Play:
+class Simulation:
     """Instances and engines; ``lag`` is how late news are (seconds)."""
 
     def __init__(self, lag: float, *, samples: bool):
@@ -54,90 +54,94 @@
         self.rng = random.Random(7)
         servers = [make_server(f"s{n}") for n in range(ENGINES)]
         self.tables: list[ServerTable] = []
-        self.places: list[ReservationQueue] = []
+        self.queues: list[ReservationQueue] = []
         for number in range(INSTANCES):
             table = make_table(*servers)
-            places = make_reservations(table)
-            places._rng = random.Random(number)
-            places._has_delayed_updates = lambda: samples
+            queues = make_reservations(table)
+            queues._rng = random.Random(number)
+            queues._has_delayed_updates = lambda: samples
             self.tables.append(table)
-            self.places.append(places)
+            self.queues.append(queues)
         self.read_until = dict.fromkeys((s.id for s in servers), 0.0)
         self.waits: list[float] = []
         self._steps: list[Step] = []
-        self._told: list[tuple[float, list[dict[str, Load]]]] = []
+        self._sent_loads: list[tuple[float, list[dict[str, Load]]]] = []
         self._number = 0
 
-    def plan(
+    def schedule(
         self,
         at: float,
         action: str,
         instance: int = 0,
-        place: Reservation | None = None,
+        reservation: Reservation | None = None,
     ) -> None:
         self._number += 1
-        heapq.heappush(self._steps, Step(at, self._number, action, instance, place))
+        heapq.heappush(
+            self._steps, Step(at, self._number, action, instance, reservation)
+        )
 
     def run(self) -> list[float]:
         """Return how long requests waited for their first event."""
-        self.plan(0.0, "ask")
-        self.plan(0.0, "tell")
-        while self._steps and self._steps[0].at < PLAY_SECONDS:
+        self.schedule(0.0, "ask")
+        self.schedule(0.0, "tell")
+        while self._steps and self._steps[0].at < SIMULATED_SECONDS:
             step = heapq.heappop(self._steps)
             getattr(self, f"_{step.action}")(step)
         return sorted(self.waits)
 
     def _ask(self, step: Step) -> None:
-        self.plan(step.at + self.rng.expovariate(ARRIVALS_A_SECOND), "ask")
+        self.schedule(step.at + self.rng.expovariate(ARRIVALS_A_SECOND), "ask")
         subject = f"subject{self.rng.randrange(SUBJECTS)}"
         own = f"own{self._number}"
         sizes = ("rules", 2_600), (subject, 3_400), (own, 2_000)
         parts = tuple(PromptPart(*size) for size in sizes)
         demand = make_demand(Prompt(MODEL, 8_000, 20, parts))
         number = self.rng.randrange(INSTANCES)
-        place = self.places[number]._try_reserve(demand, step.at)
-        if place is None:
+        reservation = self.queues[number]._try_reserve(demand, step.at)
+        if reservation is None:
             return
-        server = place.state.info.id
+        server = reservation.state.info.id
         begin = max(step.at, self.read_until[server])
-        first = begin + place.load.unread_tokens * READ_SECONDS_PER_TOKEN
+        first = begin + reservation.load.unread_tokens * READ_SECONDS_PER_TOKEN
         self.read_until[server] = first
         if step.at > WARM_SECONDS:
             self.waits.append(first - step.at)
-        self.plan(first, "read", number, place)
+        self.schedule(first, "read", number, reservation)
 
     def _read(self, step: Step) -> None:
-        assert step.place is not None
-        place = self.places[step.instance].note_prompt_read(step.place)
-        self.plan(step.at + ANSWER_SECONDS, "end", step.instance, place)
+        assert step.reservation is not None
+        reservation = self.queues[step.instance].note_prompt_read(step.reservation)
+        self.schedule(step.at + ANSWER_SECONDS, "end", step.instance, reservation)
 
     def _end(self, step: Step) -> None:
-        assert step.place is not None
-        self.places[step.instance].release(step.place)
+        assert step.reservation is not None
+        self.queues[step.instance].release(step.reservation)
 
     def _tell(self, step: Step) -> None:
         """Tell all instances what the others had in flight some time ago."""
-        self.plan(step.at + NEWS_SECONDS, "tell")
-        self._told.append((step.at, [table.list_own_loads() for table in self.tables]))
-        heard = [own for at, own in self._told if at <= step.at - self.lag]
-        if not heard:
+        self.schedule(step.at + UPDATE_SECONDS, "tell")
+        self._sent_loads.append(
+            (step.at, [table.list_own_loads() for table in self.tables])
+        )
+        received = [own for at, own in self._sent_loads if at <= step.at - self.lag]
+        if not received:
             return
         total: dict[str, Load] = {}
-        for loads in heard[-1]:
+        for loads in received[-1]:
             for server, load in loads.items():
                 total[server] = total.get(server, NO_LOAD).add(load)
-        for table, own in zip(self.tables, heard[-1], strict=True):
+        for table, own in zip(self.tables, received[-1], strict=True):
             others = {s: t.subtract(own.get(s, NO_LOAD)) for s, t in total.items()}
             table.note_peer_loads("all", others, step.at)
 
 
 def measure_median(lag: float, *, samples: bool) -> float:
-    waits = Play(lag, samples=samples).run()
+    waits = Simulation(lag, samples=samples).run()
     return waits[len(waits) // 2]
 
 
 @pytest.mark.parametrize("lag", [0.5, 1.0])
-def test_engines_share_the_work_though_news_are_late(lag: float) -> None:
+def test_sampled_servers_share_the_load_though_updates_are_late(lag: float) -> None:
     """Median wait for the first event, drawn at random against the best of all."""
     drawn = measure_median(lag, samples=True)
     best = measure_median(lag, samples=False)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -72,7 +72,7 @@
 
 async def test_late_orders_never_load_an_older_version(autojump_clock: object) -> None:
     fleet = Fleet(3)
-    fleet.engines.lost = 3
+    fleet.engines.orders_to_lose = 3
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         fleet.name_version(2)
@@ -226,12 +226,12 @@
     Without a count of crashes by order, 48 engines crash within a minute; with it, 6.
     """
     fleet = Fleet(3)
-    fleet.engines.deadly_version = 2
+    fleet.engines.crashing_version = 2
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         fleet.name_version(2)
         await trio.sleep(60.0)
-        assert fleet.engines.ends <= 10
+        assert fleet.engines.crashes <= 10
         # Crashes count for one version only.
         fleet.name_version(3)
         assert await run_until_current(fleet, 3, 20.0) < 10.0
@@ -242,12 +242,12 @@
     autojump_clock: object,
 ) -> None:
     fleet = Fleet(3)
-    fleet.engines.deadly_version = 2
+    fleet.engines.crashing_version = 2
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         fleet.name_version(2)
-        while fleet.engines.ends < 3:
+        while fleet.engines.crashes < 3:
             await trio.sleep(0.01)
-        fleet.engines.deadly_version = None
+        fleet.engines.crashing_version = None
         assert await run_until_current(fleet, 2, 30.0) < 15.0
         nursery.cancel_scope.cancel()
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -140,7 +140,7 @@
     now = trio.current_time()
     work = InstanceLoad({}, {})
     view.set_hubs(["h"])
-    view.note("h#1", PeerReport("h", Scope.FLEET, now, work))
+    view.add("h#1", PeerReport("h", Scope.FLEET, now, work))
     table.note_peer_loads("h#1", {"a": Load(3)}, now)
     assert view.find_hub(now) is not None
     assert table.sum_load("a", now).requests == 3
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -261,9 +261,9 @@
         fleet.name_version(2)
         await run_until_current(fleet, 2, 10.0)
         # The engine has accepted one order; the next is lost and arrives 6 s later.
-        fleet.engines.lost = 1
+        fleet.engines.orders_to_lose = 1
         fleet.name_version(3)
-        while fleet.engines.lost:
+        while fleet.engines.orders_to_lose:
             await trio.sleep(0.01)
         fleet.engines.restart("s0")
         await run_until_current(fleet, 3, 5.0)
@@ -314,7 +314,7 @@
         while not fleet.engines.loading["s0"]:
             await trio.sleep(0.01)
         fleet.engines.restart("s0")
-        fleet.tables[0].note_start("s0", fleet.engines.born["s0"], 0.0)
+        fleet.tables[0].note_start("s0", fleet.engines.started_ms["s0"], 0.0)
         controller.reset_server("s0")
         await trio.sleep(1.0)
         assert "s0" not in controller._paused_until
