--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -1,4 +1,4 @@
-"""An ingress on loopback whose clients keep their connections, on a paused clock."""
+"""An ingress on loopback with clients that keep their connections open."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from ashpond_platform.headers import CODEC
 from tests.ports import find_free_port
 
-# Steps of the event loop that a backend server takes for its answer: more than it
-# takes for the end of a connection to reach the handler.
+# Steps of the event loop until the handler answers: more than the close of a
+# connection takes to reach the handler.
 SERVER_STEPS = 20
 BODY = b"ok"
-# So long that no test reaches its end.
+# Longer than any test lasts.
 GRACE_SECONDS = 1000.0
 
 
 class Client:
-    """One kept connection; it sends without giving the event loop a turn."""
+    """A connection that is kept open; sending does not yield to the event loop."""
 
     def __init__(self, address: str, name: str):
         host, port = address.split(":")
@@ -40,13 +40,13 @@
         return f"{self.name}-{self.count}"
 
     def make_request(self) -> bytes:
-        """Return one more request."""
+        """Return the bytes of a new request."""
         self.count += 1
         head = f"POST /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: {self.last_id}\r\n"
         return f"{head}Content-Length: 0\r\n\r\n".encode()
 
     def send(self) -> str:
-        """Send one more request; return its id."""
+        """Send a new request; return its id."""
         self.send_bytes(self.make_request())
         return self.last_id
 
@@ -54,11 +54,11 @@
         try:
             self._sock.send(data)
         except OSError:
-            # The connection has ended; reading tells.
+            # The connection has been closed; the next read shows it.
             return
 
     def read_now(self) -> bytes:
-        """Return all that has come."""
+        """Return the bytes that have arrived, without waiting."""
         data = b""
         try:
             while piece := self._sock.recv(65_536):
@@ -68,7 +68,7 @@
         return data
 
     async def read(self) -> bytes:
-        """Return one answer as it came, or what there is of it at the end."""
+        """Return one answer, or as much as arrived before the connection closed."""
         data = b""
         while not data.endswith(BODY):
             await trio.lowlevel.wait_readable(self._sock)
@@ -82,7 +82,7 @@
         return data
 
     def is_open(self) -> bool:
-        """Return whether the other side has not ended the connection."""
+        """Return whether the other side has not closed the connection."""
         try:
             return bool(self._sock.recv(1))
         except BlockingIOError:
@@ -95,7 +95,7 @@
 
 
 class IngressHarness:
-    """The ingress, its clients, and what it has passed on."""
+    """An ingress, its clients, and the ids of the requests that it has forwarded."""
 
     def __init__(self) -> None:
         self.limits = IngressLimits(idle_timeout=15.0)
@@ -125,7 +125,7 @@
         self.ingress.apply_limits()
 
     async def open(self, count: int) -> list[Client]:
-        """Return connections that are idle after a first answer."""
+        """Return clients whose connections are idle after a first answer."""
         opened = [Client(self.address, f"c{n}") for n in range(count)]
         self.clients += opened
         for client in opened:
@@ -136,7 +136,7 @@
         return opened
 
     async def find_lost(self, sent: dict[Client, str]) -> set[str]:
-        """Return the requests that were passed on and never answered.
+        """Return the requests that were forwarded but not answered.
 
         :param sent: the last request of each client.
         """
@@ -149,7 +149,7 @@
 
 
 async def take_steps(count: int) -> None:
-    """Let the event loop take some steps."""
+    """Yield ``count`` times to the event loop."""
     for _ in range(count):
         await trio.lowlevel.checkpoint()
 
--- a/tests/listeners.py
+++ b/tests/listeners.py
@@ -1,4 +1,4 @@
-"""A listener on loopback whose connections tests open and watch."""
+"""A listener on loopback for tests of single connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def echo(exchange: Exchange) -> None:
-    """Answer with the request's body."""
+    """Answer with the body of the request."""
     body = b""
     while piece := await exchange.read_piece():
         body += piece
@@ -49,7 +49,7 @@
         return await trio.open_tcp_stream(host, int(port))
 
     async def send_and_read(self, data: bytes) -> bytes:
-        """Send bytes on a connection of their own and return all that comes."""
+        """Send bytes on a new connection and return all that is received."""
         stream = await self.connect()
         async with stream:
             await stream.send_all(data)
@@ -76,7 +76,7 @@
 
 
 async def take_steps(count: int) -> None:
-    """Let the event loop take some steps."""
+    """Yield ``count`` times to the event loop."""
     for _ in range(count):
         await trio.lowlevel.checkpoint()
 
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -1,4 +1,4 @@
-"""ASGI applications on the program's own connections."""
+"""ASGI applications served by the listener."""
 
 from __future__ import annotations
 
@@ -91,7 +91,10 @@
 
 
 async def test_an_early_answer_and_100_continue_are_not_written_at_once():
-    """Two writes at once once failed, and with them 9 to 14 of 20 answers."""
+    """Both are written to one stream, by two tasks.
+
+    Without a lock the second write failed, and with it 9 to 14 of 20 answers.
+    """
 
     async def app(scope, receive, send):
         async with trio.open_nursery() as nursery:
@@ -108,7 +111,10 @@
 
 
 async def test_an_early_answer_in_pieces_is_not_cut_off_by_100_continue():
-    """Leave was given after the answer had begun, and 20 of 40 answers were cut."""
+    """No ``100 Continue`` is sent once the answer has begun.
+
+    It was sent after the start of the answer, and 20 of 40 answers were cut off.
+    """
 
     async def app(scope, receive, send):
         async with trio.open_nursery() as nursery:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""One connection of a client: what is answered, and who ends it."""
+"""Requests, answers and the close of a single client connection."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     take_steps,
 )
 
-# Steps in which what was done on one side of a connection is seen on the other.
+# Steps of the event loop after which the other side has seen what one side did.
 STEPS = 20
 
 
@@ -255,7 +255,7 @@
         stream = await running.connect()
         await stream.send_all(REQUEST)
         await take_steps(STEPS)
-        # A next request, and much more than one read takes, are not the end.
+        # Another request on the connection is not taken for its close.
         await stream.send_all(REQUEST)
         await take_steps(STEPS)
         assert not left.is_set()
@@ -335,7 +335,7 @@
         stream = await running.connect()
         async with stream:
             await stream.send_all(REQUEST)
-            # Until the buffers between both are full and nothing more is taken.
+            # Wait until the socket buffers are full and the handler blocks.
             await trio.testing.wait_all_tasks_blocked()
             running.stop.set()
             await take_steps(STEPS)
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -1,21 +1,21 @@
-"""Kept connections: who ends them, and what has been taken up from them by then.
-
-What users saw: requests on kept connections were passed on to a backend server, the
-connections were closed in the same millisecond, and no answer came. The servers' work
-was cut a millisecond later.
-
-The order of events: the event loop is held up for some 70 ms. Meanwhile requests
-arrive on connections whose idle limit runs out, or which an instance that leaves is
-about to close. Both become ready in one step of the event loop. The task that reads
-takes up the request and tells the idle timer's task to stop; that one has already
-decided to close, under a shield, and does not ask whether anything has come. The
-handler passes the request on and then hears that its client is gone.
-
-The evidence: the record has close, arrival at the server and the cut of its work in
-this order within 2 ms, 67 ms after the request was sent. With the clock advanced past
-the idle limit in the step in which requests arrive, 208 of 400 requests were passed on
-and lost in this order; at the close of a leaving instance those that arrived 4, 5 or 6
-steps after it had left (180, 382 and 176 of 400), and none in the steps beside.
+"""Races between a request and the close of its idle connection.
+
+The failure: requests on kept connections were forwarded to a backend server, their
+connections were closed in the same millisecond without an answer, and the server's work
+was cancelled a millisecond later.
+
+How it comes about: the event loop is held up for some 70 ms. Meanwhile requests arrive
+on connections whose idle limit expires, or which a leaving instance is about to close.
+Both become ready in one step of the event loop. The reading task accepts the request
+and cancels the task of the idle timer. That task has already decided to close, is
+shielded from cancellation, and does not check for data. The handler forwards the
+request and then finds that its client has left.
+
+The log of the failure had the close, the arrival at the server and the cancellation of
+its work in this order within 2 ms, 67 ms after the request was sent. With the clock
+advanced past the idle limit in the step in which requests arrive, 208 of 400 requests
+were lost. At the close of a leaving instance 180, 382 and 176 of 400 were lost of those
+that arrived 4, 5 or 6 steps after it had left, and none in the steps beside.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 )
 
 CONNECTIONS = 20
-# The runtime runs tasks that are ready together in either order.
+# Trio runs tasks that become ready together in random order, so races need rounds.
 ROUNDS = 12
 IDLE_SECONDS = 2.0
-# Steps from the end of an instance's leaving to the close of its idle connections.
+# Steps from the end of leaving until all idle connections have been closed.
 LEAVING_STEPS = 8
 
 
@@ -68,7 +68,7 @@
 
 
 async def test_an_idle_connection_applies_a_raised_idle_limit(mock_clock):
-    """A client that knows the newest limit may use its connection for so long."""
+    """A client that knows the newest limit may reuse its connection up to it."""
     async with run_ingress() as harness:
         harness.set_idle_limit(IDLE_SECONDS)
         (client,) = await harness.open(1)
@@ -90,7 +90,7 @@
 
 
 class Action(NamedTuple):
-    """One step of a play: what is done, to which client, how much of it."""
+    """One step of a scenario: its kind, its client, and seconds or steps."""
 
     kind: str
     client: int = 0
@@ -113,7 +113,7 @@
 
 
 class Scenario:
-    """Carries out actions; nothing but ``steps`` gives the event loop a turn."""
+    """A run of actions; only the action ``steps`` yields to the event loop."""
 
     def __init__(
         self,
@@ -157,7 +157,7 @@
             self.sent[client].append(client.send())
 
     async def find_lost(self) -> set[str]:
-        """Return what was passed on and never answered, though its client stayed."""
+        """Return the forwarded, unanswered requests of clients that have not left."""
         await take_steps(200)
         lost = set()
         for client in self.clients:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""A Quart application on the program's own listener."""
+"""Quart applications served by the listener."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class App:
-    """An echo whose handler's end, whichever way it comes, is counted."""
+    """An echo application that counts requests received and answered."""
 
     def __init__(self) -> None:
         self.address = f"127.0.0.1:{find_free_port()}"
@@ -53,10 +53,10 @@
 
 
 async def test_a_request_that_arrives_as_the_idle_limit_expires_is_answered(mock_clock):
-    """The callers' API lost requests as the routed path did.
+    """The API of an instance has the same race as the ingress.
 
-    A timer's task closed a connection whose request the reader had just taken up. With
-    it, 200 of 400 such requests were begun and cancelled in their midst.
+    A separate timer task closed a connection whose request the reader had just
+    accepted. With it, 200 of 400 such requests were started and then cancelled.
     """
     async with run_echo() as echo:
         clients = [Client(echo.address, f"c{n}") for n in range(CONNECTIONS)]
