--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Build instances that share engines and news, and bring the engines up to date."""
+"""Instances that share engines and notices, and roll out weights to the engines."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Engines:
-    """Engines that load, and that may lose orders or carry them out late."""
+    """Engines that load weights, and may lose orders or carry them out late."""
 
     def __init__(self, servers: list[BackendServer]):
         self.versions = {server.id: 1 for server in servers}
@@ -52,7 +52,7 @@
         self.orders: list[SentOrder] = []
         self.orders_to_lose = 0
         self.down: set[str] = set()
-        # An engine that loads this version ends, and is away for a while.
+        # An engine that loads this version crashes and is down for ``AWAY_SECONDS``.
         self.crashing_version: int | None = None
         self.crashes = 0
         self.nursery: trio.Nursery | None = None
@@ -93,7 +93,7 @@
         return OrderAccepted(is_in_force=False)
 
     def restart(self, server_id: str) -> None:
-        """End an engine, and start it again with the weights that it had."""
+        """Restart an engine with the weights that it had."""
         self.started_ms[server_id] += 1
         self.accepted[server_id] = 0
         self.loading[server_id] = 0
@@ -130,7 +130,7 @@
 
 
 class Fleet:
-    """Instances that share a store, engines and news."""
+    """Instances that share a store, engines and notices."""
 
     def __init__(self, instances: int, engines: int = 5):
         servers = [make_server(f"s{n}") for n in range(engines)]
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -1,4 +1,4 @@
-"""Build instances that tell each other news, for tests."""
+"""Instances that exchange updates, for tests."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from ashpond.standins.tables import MemoryStore
 from tests.gateway_builders import make_server, make_table
 
-# Ten instances in one process, on a machine that may be busy: their news have to come
-# within 1.5 s of each other to add up.
+# Longest wait for a condition. Ten instances share one process on a machine that may be
+# busy, and their updates must arrive within 1.5 s of each other to be summed (seconds).
 WAIT_SECONDS = 60.0
 WINDOW_SECONDS = 10.0
 
 
 def make_update(**changes: object) -> News:
-    """Return the message of a digest that tells a little of everything."""
+    """Return an update message with one value of each kind, or with other fields."""
     values: dict = {
         "sender": "i1#1",
         "scope": "own",
@@ -93,7 +93,7 @@
         return True
 
     async def serve_allowances(self, first: AllowanceAsk, stream: PeerStream) -> None:
-        raise AssertionError("nobody asks here")
+        raise AssertionError("no instance asks for allowances in these tests")
 
     def on_crashes(self, crashes: list[ServerCrash], sender: str) -> list[ServerCrash]:
         news = [crash for crash in crashes if crash not in self.crashes]
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -73,7 +73,7 @@
 
 
 def decode_message(value: Any) -> None:
-    """Take a message as the newsroom does; check that what it holds is whole."""
+    """Decode a message as the exchange does; check that its values are valid."""
     message: PeerMessage = parse_message(value)
     if isinstance(message, News):
         digest = decode_update(message)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Instances tell each other of work in flight and of changes at servers."""
+"""Instances exchange loads in flight and changes at backend servers."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 async def test_both_ends_detect_a_dead_connection(
     instances: list[Instance], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection may go silent for good without a reset, while new ones work."""
+    """A connection can stop carrying data without a reset, while new ones work."""
     ends: list[str] = []
     for end, module in (("connects", peer), ("accepts", exchange_module)):
 
@@ -155,7 +155,7 @@
 
 
 async def test_no_outgoing_connection_takes_a_port_that_was_found_free() -> None:
-    """A newsroom could not listen: another's connection had its port."""
+    """An instance cannot listen if an outgoing connection has taken its port."""
     listener = socket.create_server(("127.0.0.1", 0))
     with listener, socket.create_connection(listener.getsockname()) as connection:
         assert connection.getsockname()[1] not in LISTENING_PORTS
@@ -163,7 +163,7 @@
 
 
 class BrokenStream:
-    """A connection on which no message goes out whole."""
+    """A connection on which no message is sent completely."""
 
     def __init__(self, error: Exception | None) -> None:
         self.error = error
@@ -183,10 +183,10 @@
 async def test_updates_not_sent_completely_are_sent_on_the_next_connection(
     error: Exception | None, instances: list[Instance], autojump_clock: object
 ) -> None:
-    """A link ends, by an error or the timeout of sending, in the midst of news.
+    """A connection breaks, or times out, while an update is sent.
 
-    Evidence: looked for after requests were lost because one side closed what the
-    other had taken up; a notice that an engine has its weights was told to no one.
+    The notices in that update would be lost: no peer would learn that an engine has
+    loaded its weights.
     """
     link = Link(PeerRole.EQUAL, "i1")
     notice, newer = ServerNotice("a", "m1", 2, 0.0), ServerNotice("a", "m1", 3, 0.0)
@@ -203,7 +203,7 @@
 async def test_updates_too_large_for_a_frame_are_dropped(
     instances: list[Instance],
 ) -> None:
-    """Kept, they would end each connection to that peer."""
+    """If they were requeued, they would break each new connection to that peer."""
     link = Link(PeerRole.EQUAL, "i1")
     link.add([ServerNotice("a", "m1", 2, 0.0)])
     stream: Any = BrokenStream(FrameError("too large"))
@@ -212,7 +212,7 @@
 
 
 def test_in_a_group_few_cache_entries_are_queued() -> None:
-    """Hubs that passed all of them on had their links choked on a scale day."""
+    """Hubs that forward all cache entries saturate their links in a large fleet."""
     cache_entries = [CacheEntry("a", "salt", f"part{n}") for n in range(100)]
     for role in PeerRole:
         limit = MAX_GROUP_CACHE_ENTRIES if role is not PeerRole.EQUAL else 200
@@ -223,7 +223,7 @@
 
 
 def test_a_hub_sends_as_many_cache_entries_as_its_link_carries() -> None:
-    """A narrow machine's link has to carry answers; a wide one loses two of three."""
+    """A slow link must leave room for answers; a fast one omits 2 of 3 entries."""
     interval = 0.12
     assert (
         limit_cache_entries(PeerRole.MEMBER, 200.0, 15, interval)
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -1,4 +1,4 @@
-"""In a large fleet instances tell each other news through the hubs of groups."""
+"""In a large fleet, instances exchange updates through the hubs of their groups."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
             nursery.start_soon(instance.run)
         await wait_for(lambda: all(i.members.count() == 10 for i in instances))
         await wait_for(lambda: all(has_hub(i) for i in instances))
-        # On a busy machine a stand-by may act until it hears the first. What it learns
-        # in between reaches few, and who missed it asks the store.
+        # On a busy machine a standby may act as hub until the preferred one reports.
+        # What it forwards until then reaches few peers; the others read the store.
         await wait_for(lambda: have_one_hub_each(instances))
         yield
         nursery.cancel_scope.cancel()
@@ -148,7 +148,7 @@
 async def test_table_updates_of_a_hub_that_is_no_reader_stay_in_its_group(
     grouped: list[Instance],
 ) -> None:
-    """Other hubs that heard of each such answer would ask the store in turn."""
+    """If other hubs received such an update, each would read the store in turn."""
     news = TableUpdate("op", 6, 7, 1000.5, (Row("op", "config", b"new", 7),))
 
     def list_hubs() -> list[Instance]:
@@ -166,7 +166,7 @@
 async def test_a_notice_queued_for_a_standby_hub_does_not_spin_the_sender(
     grouped: list[Instance],
 ) -> None:
-    """A notice that waited for the next heartbeat once kept its sender spinning."""
+    """A notice that waits for the next heartbeat must not cause a busy loop."""
     async with running(grouped):
         member = next(
             i
@@ -210,7 +210,7 @@
 
 
 async def test_an_instance_without_its_own_row_links_as_a_member() -> None:
-    """Instances that started among 195 linked to each that they had read of."""
+    """An instance that starts in a fleet of 195 must not link to every other one."""
     store = MemoryStore()
     instance = Instance("new", store, find_free_port(), mesh_limit=4)
     names = [f"i{n}" for n in range(40)]
@@ -230,14 +230,16 @@
 
 
 async def test_an_instance_that_starts_reads_the_store_itself() -> None:
-    """While it read for nobody, it slept up to 20 s before it saw who else there is."""
+    """Otherwise it would wait up to 20 s before it learns of the other instances."""
     assert Instance("i0", MemoryStore(), find_free_port()).peers.is_reader
 
 
 async def test_urgent_notices_are_sent_at_once_without_all_loads(
     autojump_clock: object,
 ) -> None:
-    """While weights were loaded, a hub's members were told all 30 times a second."""
+    """Otherwise, while weights load, a hub sends its members all loads 30 times a
+    second.
+    """
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
     link = Link(PeerRole.EQUAL, "i1")
     instance.peers._own_members.append(link)
@@ -278,7 +280,7 @@
 async def test_a_link_without_changes_wakes_up_for_heartbeats_only(
     autojump_clock: object,
 ) -> None:
-    """Each of a hub's 43 links woke up eight times a second, and at each notice."""
+    """Otherwise each of a hub's 43 links wakes 8 times a second and at each notice."""
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
     link = Link(PeerRole.EQUAL, "i1")
     instance.peers._own_members.append(link)
@@ -307,7 +309,7 @@
 async def test_a_hub_builds_no_load_for_standby_hubs(
     autojump_clock: object,
 ) -> None:
-    """Of a hub's 38 links 15 stand by: it added up for each of them each turn."""
+    """Of a hub's 38 links, 15 lead to standby hubs; summing loads for them is waste."""
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
     first, standby = Member("h1", "127.0.0.1:9", "e"), Member("h2", "127.0.0.1:9", "e")
     instance.peers.links = instance.peers.links._replace(other_hubs=((first, standby),))
--- a/tests/test_late_updates.py
+++ b/tests/test_late_updates.py
@@ -1,7 +1,7 @@
-"""Many instances that hear late of what the others have sent where.
+"""Placement in a fleet whose instances receive the loads of the others late.
 
-The real choices of 30 instances before 24 engines, in simulated time: each engine reads
-prompts one after the other, and each instance hears of the others' work so much later.
+30 instances choose among 24 engines with the real code, in simulated time. Each engine
+reads prompts one after the other, and each instance gets the loads after a set delay.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 SIMULATED_SECONDS = 8.0
 WARM_SECONDS = 2.0
 SUBJECTS = 200
-# Engines read for 0.6 of the time, if their work is spread evenly.
+# Engines read prompts 60% of the time if the load is spread evenly.
 ARRIVALS_A_SECOND = 150.0
 
 
 class Step(NamedTuple):
-    """What happens at a moment; ``number`` orders what happens together."""
+    """A scheduled action; ``number`` orders actions of the same time."""
 
     at: float
     number: int
@@ -47,7 +47,7 @@
 
 
 class Simulation:
-    """Instances and engines; ``lag`` is how late news are (seconds)."""
+    """Instances and engines; ``lag`` is the delay of updates (seconds)."""
 
     def __init__(self, lag: float, *, samples: bool):
         self.lag = lag
@@ -81,7 +81,7 @@
         )
 
     def run(self) -> list[float]:
-        """Return how long requests waited for their first event."""
+        """Return the sorted waits of requests for their first event (seconds)."""
         self.schedule(0.0, "ask")
         self.schedule(0.0, "tell")
         while self._steps and self._steps[0].at < SIMULATED_SECONDS:
@@ -118,7 +118,7 @@
         self.queues[step.instance].release(step.reservation)
 
     def _tell(self, step: Step) -> None:
-        """Tell all instances what the others had in flight some time ago."""
+        """Report to all instances the loads of the others as of ``lag`` ago."""
         self.schedule(step.at + UPDATE_SECONDS, "tell")
         self._sent_loads.append(
             (step.at, [table.list_own_loads() for table in self.tables])
@@ -142,7 +142,10 @@
 
 @pytest.mark.parametrize("lag", [0.5, 1.0])
 def test_sampled_servers_share_the_load_though_updates_are_late(lag: float) -> None:
-    """Median wait for the first event, drawn at random against the best of all."""
+    """The median wait for the first event is less than half of that without sampling.
+
+    With late updates, instances that all choose the best server overload it.
+    """
     drawn = measure_median(lag, samples=True)
     best = measure_median(lag, samples=False)
     assert drawn < 0.5 * best
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What of the peers' news counts, and what is passed on to whom."""
+"""Which reports of peers are counted, and which sums are sent to each peer."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 def test_a_cached_sum_subtracts_the_receivers_load_at_the_time_of_the_sum() -> None:
     view = make_hub_view()
     assert view.sum_fleet(make_load(8), "m1#1", 0.1).loads["a"].requests == 14
-    # What it has told since is not in the sum, and must not be taken out of it.
+    # Its later report is not in the cached sum and must not be subtracted from it.
     report(view, "m1#1", Scope.MEMBER, 100, 0.1 + SUM_CACHE_SECONDS / 3)
     soon = 0.1 + SUM_CACHE_SECONDS / 2
     assert view.sum_fleet(make_load(8), "m1#1", soon).loads["a"].requests == 14
