--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -88,17 +88,17 @@
     def retain_peers(self, peers: Container[str]) -> None:
         self.attempts = {p: counts for p, counts in self.attempts.items() if p in peers}
 
-    def on_table(self, news: TableUpdate) -> bool:
-        self.tables.append(news)
+    def on_table(self, update: TableUpdate) -> bool:
+        self.tables.append(update)
         return True
 
     async def serve_allowances(self, first: AllowanceAsk, stream: PeerStream) -> None:
         raise AssertionError("no instance asks for allowances in these tests")
 
     def on_crashes(self, crashes: list[ServerCrash], sender: str) -> list[ServerCrash]:
-        news = [crash for crash in crashes if crash not in self.crashes]
-        self.crashes += news
-        return news
+        new = [crash for crash in crashes if crash not in self.crashes]
+        self.crashes += new
+        return new
 
     def sum_load(self) -> Load:
         return self.table.sum_load("a", trio.current_time())
@@ -115,7 +115,7 @@
     async def run(self) -> None:
         feed = Feed(MEMBERS_TABLE, 5.0, 0.0, 5.0, self.members.apply_rows, lambda: None)
         follower = Follower(
-            feed, self.port, StoreClock(), self.log, lambda: True, lambda news: None
+            feed, self.port, StoreClock(), self.log, lambda: True, lambda update: None
         )
         with self.scope:
             async with trio.open_nursery() as nursery:
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -85,10 +85,10 @@
     elif isinstance(message, Notices):
         notices = decode_notices(message)[1]
     elif isinstance(message, TableChanges):
-        news = decode_changes(message)[1]
-        assert math.isfinite(news.store_time)
-        assert 0 <= news.after <= MAX_NUMBER
-        assert 0 <= news.version <= MAX_NUMBER
+        table_update = decode_changes(message)[1]
+        assert math.isfinite(table_update.store_time)
+        assert 0 <= table_update.after <= MAX_NUMBER
+        assert 0 <= table_update.version <= MAX_NUMBER
         return
     else:
         return
@@ -153,7 +153,9 @@
 
 
 @given(st.sampled_from(["loads", "notices", "holdings", "sends"]), values)
-def test_news_with_one_odd_field_raise_one_error_only(field: str, value: Any) -> None:
+def test_updates_with_one_odd_field_raise_one_error_only(
+    field: str, value: Any
+) -> None:
     take_message(["news", list(make_update(**{field: value}))])
 
 
@@ -184,7 +186,7 @@
         {"scope": "everyone"},
     ],
 )
-def test_news_that_are_not_whole_are_refused(changes: dict[str, Any]) -> None:
+def test_incomplete_updates_are_refused(changes: dict[str, Any]) -> None:
     """A sum of two such loads fits no message: the sender's task ended, and so it."""
     message = unpack_value(msgpack.packb(["news", list(make_update(**changes))]))
     with pytest.raises(FrameError):
@@ -204,7 +206,7 @@
         {"rows": [["k", b"v"]]},
     ],
 )
-def test_changes_that_are_not_whole_are_refused(changes: dict[str, Any]) -> None:
+def test_incomplete_table_changes_are_refused(changes: dict[str, Any]) -> None:
     """A version that no store reaches would have every later change passed over."""
     whole = TableChanges("i", "own", "t", 0, 1, 0.0, [["k", b"v", 1]], 1, False)
     with pytest.raises(FrameError):
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -136,20 +136,20 @@
     grouped: list[Instance],
 ) -> None:
     row = Row("op", "config", b"new", 7)
-    news = TableUpdate("op", 6, 7, 1000.5, (row, Row("op", "old", None, 7)))
+    update = TableUpdate("op", 6, 7, 1000.5, (row, Row("op", "old", None, 7)))
     async with running(grouped):
         readers = [i for i in grouped if i.peers.is_reader]
         assert 1 <= len(readers) <= READER_GROUPS
-        readers[0].peers.publish(news)
+        readers[0].peers.publish(update)
         others = [i for i in grouped if i is not readers[0]]
-        await wait_for(lambda: all(news in i.tables for i in others))
+        await wait_for(lambda: all(update in i.tables for i in others))
 
 
 async def test_table_updates_of_a_hub_that_is_no_reader_stay_in_its_group(
     grouped: list[Instance],
 ) -> None:
     """If other hubs received such an update, each would read the store in turn."""
-    news = TableUpdate("op", 6, 7, 1000.5, (Row("op", "config", b"new", 7),))
+    update = TableUpdate("op", 6, 7, 1000.5, (Row("op", "config", b"new", 7),))
 
     def list_hubs() -> list[Instance]:
         hubs = [i for i in grouped if i.peers.is_hub and not i.peers.is_reader]
@@ -158,8 +158,10 @@
     async with running(grouped):
         await wait_for(lambda: bool(list_hubs()))
         hub = list_hubs()[0]
-        hub.peers.publish(news)
-        received = {link.role for link in hub.peers.list_links() if news in link.tables}
+        hub.peers.publish(update)
+        received = {
+            link.role for link in hub.peers.list_links() if update in link.tables
+        }
         assert received == {PeerRole.MEMBER}
 
 
@@ -178,19 +180,19 @@
             for link in member.peers.list_links()
             if not member.peers._needs_updates(link)
         )
-        sends = 0
+        builds = 0
         build = member.peers._build_load
 
         def count(link: Any, now: float) -> Any:
-            nonlocal sends
-            sends += 1
+            nonlocal builds
+            builds += 1
             return build(link, now)
 
         member.peers._build_load = count  # type: ignore[method-assign]
         member.peers.announce(ServerNotice("a", "m1", 2, 0.5))
         standby.notices.append(ServerNotice("a", "m1", 3, 0.5))
         await trio.sleep(2 * GROUP_UPDATE_SECONDS)
-        assert sends < 30
+        assert builds < 30
 
 
 async def test_only_the_first_connected_candidate_of_a_group_is_sent_updates(
@@ -284,25 +286,25 @@
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
     link = Link(PeerRole.EQUAL, "i1")
     instance.peers._own_members.append(link)
-    woken = 0
+    sent_count = 0
 
     class Stream:
         async def send(self, message: object) -> None:
-            nonlocal woken
-            woken += 1
+            nonlocal sent_count
+            sent_count += 1
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(instance.peers._schedule_updates)
         nursery.start_soon(instance.peers._send_updates, link, Stream())
         await trio.sleep(6.05)
-        assert woken == pytest.approx(6.0 / HEARTBEAT_SECONDS, abs=2)
-        woken = 0
+        assert sent_count == pytest.approx(6.0 / HEARTBEAT_SECONDS, abs=2)
+        sent_count = 0
         instance.peers.announce(ServerNotice("a", "m1", 2, 0.5))
         await trio.sleep(0.001)
-        assert woken == 1
+        assert sent_count == 1
         instance.table.by_id["a"].load = Load(3)
         await trio.sleep(UPDATE_SECONDS * 1.1)
-        assert woken == 2
+        assert sent_count == 2
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_late_updates.py
+++ b/tests/test_late_updates.py
@@ -83,7 +83,7 @@
     def run(self) -> list[float]:
         """Return the sorted waits of requests for their first event (seconds)."""
         self.schedule(0.0, "ask")
-        self.schedule(0.0, "tell")
+        self.schedule(0.0, "report_loads")
         while self._steps and self._steps[0].at < SIMULATED_SECONDS:
             step = heapq.heappop(self._steps)
             getattr(self, f"_{step.action}")(step)
@@ -117,9 +117,9 @@
         assert step.reservation is not None
         self.queues[step.instance].release(step.reservation)
 
-    def _tell(self, step: Step) -> None:
+    def _report_loads(self, step: Step) -> None:
         """Report to all instances the loads of the others as of ``lag`` ago."""
-        self.schedule(step.at + UPDATE_SECONDS, "tell")
+        self.schedule(step.at + UPDATE_SECONDS, "report_loads")
         self._sent_loads.append(
             (step.at, [table.list_own_loads() for table in self.tables])
         )
