--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -9,7 +9,7 @@
 from ashpond.decisions.prompts import PromptPart
 from ashpond.decisions.selection import describe_demand
 from ashpond.gateway.calls import Instructions
-from ashpond_platform.headers import read_envelope, read_marks, write_headers
+from ashpond_platform.headers import read_answer_headers, read_envelope, write_headers
 from tests.gateway_builders import make_demand
 
 REQUEST = [
@@ -102,16 +102,18 @@
 
 
 def test_an_answers_marks_are_read() -> None:
-    marks = read_marks([(b"x-weight-versions", b"4"), (b"x-not-executed", b"1")])
-    assert (marks.weights_version, marks.is_not_run) == (4, True)
-    assert read_marks([(b"x-weight-versions", b"odd")]).weights_version is None
+    answer = read_answer_headers(
+        [(b"x-weight-versions", b"4"), (b"x-not-executed", b"1")]
+    )
+    assert (answer.weights_version, answer.is_not_run) == (4, True)
+    assert read_answer_headers([(b"x-weight-versions", b"odd")]).weights_version is None
 
 
 @pytest.mark.parametrize("text", ["\u00b2", "9" * 30, "-1", "", "1.0", "9" * 5000])
 def test_a_version_that_is_no_number_of_64_bits_is_not_there(text: str) -> None:
     """A superscript two counts as a digit, and ended the instance that read it."""
-    marks = read_marks([(b"x-weight-versions", text.encode("latin-1"))])
-    assert marks.weights_version is None
+    answer = read_answer_headers([(b"x-weight-versions", text.encode("latin-1"))])
+    assert answer.weights_version is None
 
 
 @pytest.mark.parametrize("counts", ["9" * 30 + ",1", "-5,1", "1,-5", "9" * 4000 + ",1"])
@@ -157,7 +159,7 @@
 def test_headers_of_a_server_always_make_marks(
     headers: list[tuple[bytes, bytes]],
 ) -> None:
-    version = read_marks(headers).weights_version
+    version = read_answer_headers(headers).weights_version
     assert version is None or 0 <= version < 10**18
 
 
@@ -187,8 +189,8 @@
     values: list[bytes], expected: tuple[float | None, bool]
 ) -> None:
     """Of several the lowest counts."""
-    marks = read_marks([(b"server-limit", value) for value in values])
-    assert (marks.rate_limit, marks.is_limit_invalid) == expected
+    answer = read_answer_headers([(b"server-limit", value) for value in values])
+    assert (answer.rate_limit, answer.is_limit_invalid) == expected
 
 
 @pytest.mark.parametrize(
@@ -206,8 +208,8 @@
 def test_a_server_that_leaves_says_1(
     values: list[bytes], expected: tuple[bool, bool]
 ) -> None:
-    marks = read_marks([(b"Server-Leaving", value) for value in values])
-    assert (marks.is_leaving, marks.is_leaving_invalid) == expected
+    answer = read_answer_headers([(b"Server-Leaving", value) for value in values])
+    assert (answer.is_leaving, answer.is_leaving_invalid) == expected
 
 
 DATE = (b"Date", b"Thu, 03 Dec 2026 10:00:00 GMT")
@@ -237,13 +239,13 @@
     values: list[bytes], expected: tuple[float | None, bool]
 ) -> None:
     """Of several the longest counts."""
-    marks = read_marks([DATE, *((b"Retry-After", value) for value in values)])
-    assert (marks.backoff, marks.is_backoff_invalid) == expected
+    answer = read_answer_headers([DATE, *((b"Retry-After", value) for value in values)])
+    assert (answer.backoff, answer.is_backoff_invalid) == expected
 
 
 @given(st.lists(st.binary(max_size=40), max_size=3))
 def test_whatever_a_server_says_of_itself_makes_marks(values: list[bytes]) -> None:
     names = (b"retry-after", b"server-limit", b"server-leaving", b"date")
-    marks = read_marks([(name, value) for name in names for value in values])
-    assert marks.backoff is None or 0 <= marks.backoff < float("inf")
-    assert marks.rate_limit is None or 0 <= marks.rate_limit < float("inf")
+    answer = read_answer_headers([(name, value) for name in names for value in values])
+    assert answer.backoff is None or 0 <= answer.backoff < float("inf")
+    assert answer.rate_limit is None or 0 <= answer.rate_limit < float("inf")
