--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -22,7 +22,7 @@
 from tests.test_platform_store import answer_call
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 GRACE_SECONDS = 3.5
 
 
@@ -59,7 +59,7 @@
 
 async def wait_until_ready(address: str) -> None:
     check = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-    with trio.fail_after(PATIENCE_SECONDS):
+    with trio.fail_after(TIMEOUT_SECONDS):
         while not (await ask(address, check)).startswith(b"HTTP/1.1 200"):
             await trio.sleep(0.05)
 
@@ -85,7 +85,7 @@
             assert answer.startswith(b"HTTP/1.1 200")
             program.send_signal(signal.SIGTERM)
             log = b""
-            with trio.fail_after(PATIENCE_SECONDS):
+            with trio.fail_after(TIMEOUT_SECONDS):
                 assert program.stdout is not None
                 while piece := await program.stdout.receive_some(65_536):
                     log += piece
