--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -41,7 +41,7 @@
     PeerRole,
     UpdateMessage,
     get_peer_name,
-    is_first_reachable,
+    is_first_candidate,
     is_relied_on,
     limit_cache_entries,
     list_required_links,
@@ -271,7 +271,7 @@
     def _needs_updates(self, link: Link) -> bool:
         """Return whether a peer uses the updates on this link, not just heartbeats."""
         if link.role is PeerRole.OTHER_HUB:
-            return is_first_reachable(link.name, self.links.other_hubs, self._outgoing)
+            return is_first_candidate(link.name, self.links.other_hubs, self._outgoing)
         hub = self.view.find_hub(trio.current_time())
         return is_relied_on(link, hub, is_hub=self._is_hub)
 
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -9,7 +9,7 @@
     "PeerRole",
     "UpdateMessage",
     "get_peer_name",
-    "is_first_reachable",
+    "is_first_candidate",
     "is_relied_on",
     "limit_cache_entries",
     "list_required_links",
@@ -203,7 +203,7 @@
     return True
 
 
-def is_first_reachable(
+def is_first_candidate(
     name: str,
     other_hubs: Iterable[Sequence[Member]],
     links: Mapping[tuple[PeerRole, Member], Link],
--- a/ashpond/fleet/members.py
+++ b/ashpond/fleet/members.py
@@ -27,7 +27,7 @@
 RESTORE_SECONDS = 5.0
 # Instances that have left are recorded, as an older copy may contain their rows
 # (entries).
-MAX_LEFT = 1_000
+MAX_FORMER_MEMBERS = 1_000
 # An older copy may lack the secret if the secret was agreed on less than this before
 # the restore (seconds).
 NEW_DEPLOYMENT_SECONDS = 60.0
@@ -93,7 +93,7 @@
         self._invalid_rows = invalid_rows or InvalidRows(log)
         self._is_registered = False
         self._agreed_at = float("-inf")
-        self._left: dict[str, None] = {}
+        self._former_members: dict[str, None] = {}
         # Members whose rows are missing from the restored store, and until when they
         # count as members.
         self._missing: dict[str, float] = {}
@@ -121,8 +121,8 @@
             if self._needs_secret:
                 self._needs_secret = False
                 await self._restore_secret()
-            restored, self._pending_writes = self._pending_writes, []
-            for conditions, row in restored:
+            writes, self._pending_writes = self._pending_writes, []
+            for conditions, row in writes:
                 outcome = await self._store.write(conditions, [row])
                 if not isinstance(outcome, Done | Conflict):
                     self._pending_writes.append((conditions, row))
@@ -140,9 +140,9 @@
             await trio.sleep(RETRY_SECONDS)
             self._restore_needed.set()
             return
-        for held in outcome.value.rows:
-            found = decode_secret(held)
-            if held.key == SECRET_KEY and isinstance(found, str):
+        for stored_row in outcome.value.rows:
+            found = decode_secret(stored_row)
+            if stored_row.key == SECRET_KEY and isinstance(found, str):
                 self.secret = found
 
     def count(self) -> int:
@@ -192,12 +192,12 @@
 
     async def _make_secret(self, version: int) -> None:
         """Write a new secret if the row is still at ``version``, 0 for no row."""
-        made = secrets.token_hex(SECRET_BYTES)
-        row = Row(SECRET_TABLE, SECRET_KEY, made.encode(), 0)
+        new_secret = secrets.token_hex(SECRET_BYTES)
+        row = Row(SECRET_TABLE, SECRET_KEY, new_secret.encode(), 0)
         condition = Condition(SECRET_TABLE, SECRET_KEY, version)
         written = await self._store.write([condition], [row])
         if isinstance(written, Done):
-            self.secret = made
+            self.secret = new_secret
         elif not isinstance(written, Conflict):
             await trio.sleep(RETRY_SECONDS)
 
@@ -220,14 +220,14 @@
             self._missing.pop(row.key, None)
             if found is None:
                 self.by_name.pop(row.key, None)
-                self._record_left(row.key)
-            elif is_whole and self._is_restored and row.key in self._left:
+                self._record_former_member(row.key)
+            elif is_whole and self._is_restored and row.key in self._former_members:
                 # It left after the copy was made, so its row is removed again.
                 condition = Condition(row.table, row.key, row.version)
                 self._pending_writes.append(([condition], row._replace(value=None)))
             else:
                 self.by_name[row.key] = found
-                self._left.pop(row.key, None)
+                self._former_members.pop(row.key, None)
         if is_whole and self._is_restored:
             self._is_restored = False
             self._restore_own(snapshot)
@@ -241,35 +241,35 @@
 
     def _keep_missing(self, snapshot: Snapshot) -> dict[str, Member]:
         """Return the known instances whose rows the restored table lacks."""
-        there = {row.key for row in snapshot.rows}
-        kept = {n: m for n, m in self.by_name.items() if n not in there}
+        stored_names = {row.key for row in snapshot.rows}
+        missing = {n: m for n, m in self.by_name.items() if n not in stored_names}
         until = trio.current_time() + RESTORE_SECONDS
-        self._missing.update(dict.fromkeys(kept, until))
-        return kept
+        self._missing.update(dict.fromkeys(missing, until))
+        return missing
 
     def _restore_own(self, snapshot: Snapshot) -> None:
         """Schedule a write of this instance's row if the table lacks it."""
         own = self._make_own_row()
-        is_there = any((r.key, r.value) == (own.key, own.value) for r in snapshot.rows)
-        if self._is_registered and not is_there:
+        is_stored = any((r.key, r.value) == (own.key, own.value) for r in snapshot.rows)
+        if self._is_registered and not is_stored:
             self._pending_writes.append(([], own))
         if self._pending_writes:
             self._restore_needed.set()
 
-    def _record_left(self, name: str) -> None:
-        self._left.pop(name, None)
-        self._left[name] = None
-        if len(self._left) > MAX_LEFT:
-            del self._left[next(iter(self._left))]
+    def _record_former_member(self, name: str) -> None:
+        self._former_members.pop(name, None)
+        self._former_members[name] = None
+        if len(self._former_members) > MAX_FORMER_MEMBERS:
+            del self._former_members[next(iter(self._former_members))]
 
     def expire(self) -> None:
         """Remove instances that have not written their rows again in time."""
         now = trio.current_time()
-        gone = [name for name, until in self._missing.items() if now >= until]
-        for name in gone:
+        expired_names = [name for name, until in self._missing.items() if now >= until]
+        for name in expired_names:
             del self._missing[name]
             if name != self.own.name:
                 self.by_name.pop(name, None)
-        if gone:
-            self._log.note("members_not_back", names=sorted(gone))
+        if expired_names:
+            self._log.note("members_not_back", names=sorted(expired_names))
             self._on_change()
--- a/ashpond/fleet/view.py
+++ b/ashpond/fleet/view.py
@@ -80,8 +80,8 @@
     def expire(self, now: float) -> None:
         """Drop the reports that are older than the window."""
         self._reports = {
-            incarnation: report
-            for incarnation, report in self._reports.items()
+            key: report
+            for key, report in self._reports.items()
             if now - report.received_at <= self.window
         }
 
@@ -106,9 +106,9 @@
         if hub is not None:
             return [hub]
         return [
-            incarnation
-            for incarnation, s in self._reports.items()
-            if s.scope is not Scope.FLEET
+            key
+            for key, report in self._reports.items()
+            if report.scope is not Scope.FLEET
         ]
 
     def sum_group(self, own: InstanceLoad, now: float) -> InstanceLoad:
@@ -182,19 +182,19 @@
 
 
 def _add_loads(
-    total: InstanceLoad, more: InstanceLoad, less: InstanceLoad = EMPTY_LOAD
+    total: InstanceLoad, added: InstanceLoad, subtracted: InstanceLoad = EMPTY_LOAD
 ) -> InstanceLoad:
-    """Return ``total`` plus ``more``, minus ``less``, which ``total`` contains."""
+    """Return ``total`` plus ``added`` minus ``subtracted``, a part of ``total``."""
     loads = dict(total.loads)
-    for server_id, load in less.loads.items():
-        left = loads.pop(server_id).subtract(load)
-        if left != NO_LOAD:
-            loads[server_id] = left
-    for server_id, load in more.loads.items():
+    for server_id, load in subtracted.loads.items():
+        remainder = loads.pop(server_id).subtract(load)
+        if remainder != NO_LOAD:
+            loads[server_id] = remainder
+    for server_id, load in added.loads.items():
         loads[server_id] = loads.get(server_id, NO_LOAD).add(load)
     attempts = dict(total.attempts)
-    for service, counts in less.attempts.items():
+    for service, counts in subtracted.attempts.items():
         attempts[service] = attempts[service].subtract(counts)
-    for service, counts in more.attempts.items():
+    for service, counts in added.attempts.items():
         attempts[service] = attempts.get(service, AttemptCounts()).add(counts)
     return InstanceLoad(loads, attempts)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -48,7 +48,7 @@
         self.started_ms = dict.fromkeys(self.versions, 1000)
         self.loading = dict.fromkeys(self.versions, 0)
         self.load_seconds = LOAD_SECONDS
-        self.most_loading = 0
+        self.max_loading = 0
         self.orders: list[SentOrder] = []
         self.orders_to_lose = 0
         self.down: set[str] = set()
@@ -85,9 +85,7 @@
             return OrderAccepted(is_in_force=True)
         self.accepted[server_id] += 1
         self.loading[server_id] = order.version
-        self.most_loading = max(
-            self.most_loading, sum(map(bool, self.loading.values()))
-        )
+        self.max_loading = max(self.max_loading, sum(map(bool, self.loading.values())))
         assert self.nursery is not None
         self.nursery.start_soon(self._load, server_id)
         return OrderAccepted(is_in_force=False)
@@ -171,7 +169,7 @@
             if state is not None:
                 state.update_weights(notice.model, notice.version)
 
-    def name_version(self, version: int) -> None:
+    def require_version(self, version: int) -> None:
         for knowledge in self.knowledge:
             knowledge.adopt_target(WeightTarget(MODEL, version), trio.current_time())
         for controller in self.controllers:
@@ -182,9 +180,9 @@
         for controller in self.controllers:
             scope = trio.CancelScope()
             self.scopes.append(scope)
-            nursery.start_soon(self._run_one, controller, scope)
+            nursery.start_soon(self._run_controller, controller, scope)
 
-    async def _run_one(
+    async def _run_controller(
         self, controller: RolloutController, scope: trio.CancelScope
     ) -> None:
         with scope:
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -308,7 +308,7 @@
     fleet.store.put(LEASE_TABLE, make_lease_key(1), b'{"holder": 7}')
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 20.0)
         nursery.cancel_scope.cancel()
     assert min(sent.order.fence for sent in fleet.engines.orders) > 40
--- a/tests/test_rollout_pace.py
+++ b/tests/test_rollout_pace.py
@@ -27,7 +27,7 @@
     state.load = Load(5, bound=1)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(2 * BOUND_WAIT_SECONDS)
         assert not fleet.engines.orders
         state.load = Load(4, bound=0)
@@ -46,7 +46,7 @@
     fleet.engines.load_seconds = 5.0
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         with trio.fail_after(20.0):
             while not fleet.engines.orders:
                 await trio.sleep(0.05)
@@ -64,10 +64,10 @@
     fleet = Fleet(2, engines=45)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         assert await run_until_current(fleet, 2, 10.0) < 8.0
         nursery.cancel_scope.cancel()
-    assert fleet.engines.most_loading == int(45 * MANY_LOADING_SHARE)
+    assert fleet.engines.max_loading == int(45 * MANY_LOADING_SHARE)
 
 
 async def test_instances_with_a_high_rank_do_not_read_the_lease(
@@ -76,7 +76,7 @@
     fleet = Fleet(40)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 10.0)
         nursery.cancel_scope.cancel()
     assert fleet.store.calls.count(f"read {LEASE_TABLE}") <= 3
@@ -92,7 +92,7 @@
     state.load = Load(4, bound=0)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(0.6)
         state.load = Load(5, bound=1)
         await trio.sleep(0.5)
@@ -119,7 +119,7 @@
         controller._find_outdated = find  # type: ignore[method-assign]
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
     holder = max(checks, key=lambda number: checks[number])
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -17,19 +17,19 @@
     fleet = Fleet(8)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         assert await run_until_current(fleet, 2, 10.0) < 4.0
         nursery.cancel_scope.cancel()
     assert len(fleet.list_holders()) == 1
     assert len(fleet.engines.orders) == 5
-    assert fleet.engines.most_loading == 2
+    assert fleet.engines.max_loading == 2
 
 
 async def test_no_order_is_sent_when_none_is_needed(autojump_clock: object) -> None:
     fleet = Fleet(3)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(1)
+        fleet.require_version(1)
         await trio.sleep(5.0)
         nursery.cancel_scope.cancel()
     assert fleet.engines.orders == []
@@ -42,7 +42,7 @@
     fleet = Fleet(4)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         while not fleet.engines.orders:
             await trio.sleep(0.01)
         holder = int(fleet.engines.orders[0].order.holder[1:])
@@ -60,11 +60,11 @@
     fleet = Fleet(4)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 10.0)
         await trio.sleep(6.0)
         fleet.scopes[int(fleet.list_holders()[0][1:])].cancel()
-        fleet.name_version(3)
+        fleet.require_version(3)
         assert await run_until_current(fleet, 3, 10.0) < 7.0
         nursery.cancel_scope.cancel()
     fleet.assert_holders_apart()
@@ -75,9 +75,9 @@
     fleet.engines.orders_to_lose = 3
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 10.0)
-        fleet.name_version(3)
+        fleet.require_version(3)
         await run_until_current(fleet, 3, 10.0)
         await trio.sleep(15.0)
         assert set(fleet.engines.versions.values()) == {3}
@@ -90,9 +90,9 @@
     fleet = Fleet(3)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(0.5)
-        fleet.name_version(3)
+        fleet.require_version(3)
         await run_until_current(fleet, 3, 10.0)
         nursery.cancel_scope.cancel()
     # Engines that had not started to load version 2 never load it.
@@ -110,11 +110,11 @@
             fleet.engines.down.add(server_id)
             fleet.tables[0].by_id[server_id].note_connect_failure(now)
             fleet.tables[0].by_id[server_id].excluded_until = now + 60
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(2.5)
         assert fleet.engines.orders == []
         await trio.sleep(6.0)
-        assert fleet.engines.most_loading == 1
+        assert fleet.engines.max_loading == 1
         assert [fleet.engines.versions[f"s{n}"] for n in range(3)] == [2, 2, 2]
         nursery.cancel_scope.cancel()
 
@@ -128,7 +128,7 @@
     fleet.store.lose_answers = has_lost_answers
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(3.0)
         if not has_lost_answers:
             assert fleet.engines.orders == []
@@ -146,7 +146,7 @@
     state.load = Load(3, 0, 0, bound=1)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(0.5)
         assert fleet.engines.orders == []
         assert not state.is_usable(trio.current_time())
@@ -164,7 +164,7 @@
     fleet.tables[0].by_id["s0"].load = Load(3, 0, 0, bound=0)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 5.0)
         nursery.cancel_scope.cancel()
     assert [sent.order.cuts_runs for sent in fleet.engines.orders] == [False]
@@ -177,7 +177,7 @@
     fleet.tables[0].by_id["s0"].load = Load(3, 0, 0, bound=1)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 5.0)
         nursery.cancel_scope.cancel()
     assert [sent.order.cuts_runs for sent in fleet.engines.orders] == [False]
@@ -208,7 +208,7 @@
     fleet.controllers[0]._engines = port
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await reported.wait()
         await trio.sleep(0.5)
         assert fleet.engines.orders == []
@@ -229,11 +229,11 @@
     fleet.engines.crashing_version = 2
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await trio.sleep(60.0)
         assert fleet.engines.crashes <= 10
         # Crashes count for one version only.
-        fleet.name_version(3)
+        fleet.require_version(3)
         assert await run_until_current(fleet, 3, 20.0) < 10.0
         nursery.cancel_scope.cancel()
 
@@ -245,7 +245,7 @@
     fleet.engines.crashing_version = 2
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         while fleet.engines.crashes < 3:
             await trio.sleep(0.01)
         fleet.engines.crashing_version = None
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -239,9 +239,9 @@
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
         # The first start accepts an order, so that the counts of both starts differ.
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 10.0)
-        fleet.name_version(3)
+        fleet.require_version(3)
         while fleet.engines.loading["s0"] != 3:
             await trio.sleep(0.01)
         fleet.engines.restart("s0")
@@ -258,16 +258,16 @@
     fleet = Fleet(1, engines=1)
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         await run_until_current(fleet, 2, 10.0)
         # The engine has accepted one order; the next is lost and arrives 6 s later.
         fleet.engines.orders_to_lose = 1
-        fleet.name_version(3)
+        fleet.require_version(3)
         while fleet.engines.orders_to_lose:
             await trio.sleep(0.01)
         fleet.engines.restart("s0")
         await run_until_current(fleet, 3, 5.0)
-        fleet.name_version(4)
+        fleet.require_version(4)
         await run_until_current(fleet, 4, 10.0)
         await trio.sleep(8.0)
         nursery.cancel_scope.cancel()
@@ -310,7 +310,7 @@
     controller = fleet.controllers[0]
     async with trio.open_nursery() as nursery:
         await fleet.run(nursery)
-        fleet.name_version(2)
+        fleet.require_version(2)
         while not fleet.engines.loading["s0"]:
             await trio.sleep(0.01)
         fleet.engines.restart("s0")
