--- a/ashpond/emulator/engines.py
+++ b/ashpond/emulator/engines.py
@@ -42,7 +42,7 @@
         self.urgency = urgency
         self.unread = 0
         self.fetched_at = 0.0
-        self.left = output_tokens
+        self.tokens_left = output_tokens
         self.has_begun = trio.Event()
         self.has_ended = trio.Event()
         self.is_broken = False
@@ -52,7 +52,7 @@
         self.longest_pause = 0.0
 
     @property
-    def own_tokens(self) -> int:
+    def reserved_tokens(self) -> int:
         """Memory that the run holds besides shared parts."""
         return self.prompt.parts[-1].tokens + self.prompt.max_output_tokens
 
@@ -104,7 +104,7 @@
         """Lose all requests and all that is cached."""
         self.is_down = True
         for run in [*self._waiting, *self._running]:
-            self._break(run)
+            self._fail_run(run)
         self._waiting.clear()
         self._running.clear()
         self._cache.clear()
@@ -114,18 +114,18 @@
         """Come back, empty."""
         self.is_down = False
 
-    def order(self, version: int, *, cuts_runs: bool) -> None:
+    def order_weights(self, version: int, *, cuts_runs: bool) -> None:
         """Load a version once the runs have ended, or at once if they are cut."""
         self.accepted_orders += 1
         self.ordered_version = version
         if cuts_runs:
             for run in [*self._waiting, *self._running]:
-                self._break(run)
+                self._fail_run(run)
             self._waiting.clear()
             self._running.clear()
         self._wake()
 
-    def holds(self, salt: str, part: str) -> bool:
+    def has_cached(self, salt: str, part: str) -> bool:
         """Return whether a part is cached under a salt."""
         return (salt, part) in self._cache
 
@@ -135,13 +135,13 @@
             now = trio.current_time()
             self._admit(now)
             if self._running:
-                await trio.sleep(self._read_some() + self._measure_step())
-                self._make_tokens(trio.current_time())
+                await trio.sleep(self._read_prompts() + self._compute_step_seconds())
+                self._generate_tokens(trio.current_time())
             elif self.ordered_version is not None and not self._waiting:
                 await self._load(self.ordered_version)
             else:
                 self._wakeup = trio.Event()
-                with trio.move_on_after(self._choose_idle_seconds(now)):
+                with trio.move_on_after(self._compute_idle_seconds(now)):
                     await self._wakeup.wait()
 
     async def _load(self, version: int) -> None:
@@ -151,7 +151,7 @@
             self.version = version
             self.ordered_version = None
 
-    def _choose_idle_seconds(self, now: float) -> float:
+    def _compute_idle_seconds(self, now: float) -> float:
         later = [run.fetched_at - now for run in self._waiting if run.fetched_at > now]
         return min(later, default=float("inf"))
 
@@ -165,7 +165,7 @@
             if key not in source._cache:
                 break
             tokens += part.tokens
-            self._keep(key, part.tokens)
+            self._cache_part(key, part.tokens)
         begins = max(now, self._link_free_at, source._link_free_at)
         ends = begins + tokens / self.shape.link_tokens_per_second
         self._link_free_at = source._link_free_at = ends
@@ -175,8 +175,8 @@
         for run in list(self._waiting):
             if len(self._running) >= self.shape.slots:
                 return
-            used = sum(other.own_tokens for other in self._running)
-            is_too_much = used + run.own_tokens > self.shape.memory_tokens
+            used = sum(other.reserved_tokens for other in self._running)
+            is_too_much = used + run.reserved_tokens > self.shape.memory_tokens
             if self._running and is_too_much:
                 return
             if run.fetched_at > now:
@@ -199,54 +199,54 @@
                 if key in self._ever_read:
                     self.tokens_read_again += part.tokens
                 self._ever_read.add(key)
-            self._keep(key, part.tokens)
+            self._cache_part(key, part.tokens)
         return unread
 
-    def _keep(self, key: tuple[str, str], tokens: int) -> None:
+    def _cache_part(self, key: tuple[str, str], tokens: int) -> None:
         self._cache[key] = tokens
         self._cache.move_to_end(key)
-        used = sum(run.own_tokens for run in self._running)
+        used = sum(run.reserved_tokens for run in self._running)
         while self._cache and used + sum(self._cache.values()) > (
             self.shape.memory_tokens
         ):
             self._cache.popitem(last=False)
 
-    def _read_some(self) -> float:
+    def _read_prompts(self) -> float:
         """Read up to one piece of the prompts; return how long it takes."""
-        room = self.shape.chunk_tokens
+        budget = self.shape.chunk_tokens
         for run in self._running:
-            piece = min(room, run.unread)
+            piece = min(budget, run.unread)
             run.unread -= piece
-            room -= piece
-        read = self.shape.chunk_tokens - room
+            budget -= piece
+        read = self.shape.chunk_tokens - budget
         self.tokens_read += read
         return read / self.shape.read_tokens_per_second
 
-    def _measure_step(self) -> float:
+    def _compute_step_seconds(self) -> float:
         shape = self.shape
         return shape.step_seconds + shape.step_seconds_per_run * len(self._running)
 
-    def _make_tokens(self, now: float) -> None:
+    def _generate_tokens(self, now: float) -> None:
         for run in list(self._running):
             if run.is_cancelled:
                 self._running.remove(run)
             elif not run.unread:
-                self._make_token(run, now)
+                self._generate_token(run, now)
 
-    def _make_token(self, run: Run, now: float) -> None:
+    def _generate_token(self, run: Run, now: float) -> None:
         if run.begun_at is None:
             run.begun_at = run.last_event_at = now
             run.has_begun.set()
-        run.left -= 1
-        if run.left % self.shape.event_tokens == 0:
+        run.tokens_left -= 1
+        if run.tokens_left % self.shape.event_tokens == 0:
             assert run.last_event_at is not None
             run.longest_pause = max(run.longest_pause, now - run.last_event_at)
             run.last_event_at = now
-        if run.left <= 0:
+        if run.tokens_left <= 0:
             self._running.remove(run)
             run.has_ended.set()
 
-    def _break(self, run: Run) -> None:
+    def _fail_run(self, run: Run) -> None:
         run.is_broken = True
         run.has_begun.set()
         run.has_ended.set()
--- a/ashpond/emulator/experiments.py
+++ b/ashpond/emulator/experiments.py
@@ -26,7 +26,7 @@
 SPAN_SECONDS = 2.0
 WORST_SPANS = 2
 # A mean of few runs: its interval is about twice its standard error wide.
-ERRORS = 2.0
+INTERVAL_STANDARD_ERRORS = 2.0
 
 
 class Figures(NamedTuple):
@@ -83,9 +83,9 @@
     if problems:
         raise InputError(problems)
     checked = _convert(path, "(file)", table, _ExperimentTable)
-    shape = _fill(path, "engine", checked.engine, EngineShape)
+    shape = _build_tuple(path, "engine", checked.engine, EngineShape)
     kinds = {
-        name: _fill(path, f"kinds.{name}", {"name": name} | entry, RequestKind)
+        name: _build_tuple(path, f"kinds.{name}", {"name": name} | entry, RequestKind)
         for name, entry in checked.kinds.items()
     }
     scenarios = {}
@@ -98,41 +98,47 @@
             )
         if any(crash.engine >= entry.engines for crash in entry.crashes):
             raise InputError([InputProblem(path, f"{key}.crashes", "", "no engine")])
-        if any(said.engine >= entry.engines for said in entry.statements):
+        if any(statement.engine >= entry.engines for statement in entry.statements):
             problem = InputProblem(path, f"{key}.statements", "", "no engine")
             raise InputError([problem])
         scenarios[name] = _build_scenario(entry, kinds, shape)
     return Experiment(checked.seeds, scenarios)
 
 
-def _convert(path: str, key: str, table: Any, wanted: Any) -> Any:
+def _convert(path: str, key: str, table: Any, target_type: Any) -> Any:
     try:
-        return msgspec.convert(table, wanted)
+        return msgspec.convert(table, target_type)
     except msgspec.ValidationError as error:
         raise InputError([InputProblem(path, key, "", str(error))]) from error
 
 
-def _fill(path: str, key: str, table: dict[str, Any], wanted: Any) -> Any:
+def _build_tuple(path: str, key: str, table: dict[str, Any], target_type: Any) -> Any:
     """Return a typed value; fields that the file leaves out have their defaults."""
-    unknown = [field for field in table if field not in wanted._fields]
+    unknown = [field for field in table if field not in target_type._fields]
     if unknown:
         problem = InputProblem(path, f"{key}.{unknown[0]}", "", "unknown key")
         raise InputError([problem])
-    names = [field for field in wanted._fields if field not in wanted._field_defaults]
+    names = [
+        field
+        for field in target_type._fields
+        if field not in target_type._field_defaults
+    ]
     for name in names:
         if name not in table:
             problem = InputProblem(path, f"{key}.{name}", "", "this key is required")
             raise InputError([problem])
-    values = wanted._field_defaults | table
-    return _convert(path, key, [values[field] for field in wanted._fields], wanted)
+    values = target_type._field_defaults | table
+    return _convert(
+        path, key, [values[field] for field in target_type._fields], target_type
+    )
 
 
 def _build_scenario(
     entry: _ScenarioTable, kinds: dict[str, RequestKind], shape: EngineShape
 ) -> Scenario:
-    asked = [kinds[name] for name in entry.kinds]
+    selected = [kinds[name] for name in entry.kinds]
     return Scenario(
-        tuple(k._replace(per_second=k.per_second * entry.load) for k in asked),
+        tuple(k._replace(per_second=k.per_second * entry.load) for k in selected),
         seconds=entry.seconds,
         engines=entry.engines,
         instances=entry.instances,
@@ -151,9 +157,9 @@
     spans: dict[int, list[Outcome]] = {}
     for outcome in outcomes:
         spans.setdefault(int(outcome.asked_at // SPAN_SECONDS), []).append(outcome)
-    worst = sorted(_share_earned(span) for span in spans.values())[:WORST_SPANS]
+    worst = sorted(_compute_earned_share(span) for span in spans.values())[:WORST_SPANS]
     return Figures(
-        _share_earned(outcomes),
+        _compute_earned_share(outcomes),
         statistics.mean(worst) if worst else 1.0,
         sum(o.first_after is not None and not o.is_in_time for o in outcomes) / count,
         sum(o.first_after is None for o in outcomes) / count,
@@ -162,9 +168,13 @@
     )
 
 
-def _share_earned(outcomes: Sequence[Outcome]) -> float:
-    owed = sum(outcome.kind.worth for outcome in outcomes)
-    return sum(outcome.earned for outcome in outcomes) / owed if owed else 1.0
+def _compute_earned_share(outcomes: Sequence[Outcome]) -> float:
+    total_worth = sum(outcome.kind.worth for outcome in outcomes)
+    return (
+        sum(outcome.earned for outcome in outcomes) / total_worth
+        if total_worth
+        else 1.0
+    )
 
 
 def render_table(results: dict[str, list[Figures]]) -> str:
@@ -175,13 +185,13 @@
         means = [statistics.mean(values) for values in zip(*figures, strict=True)]
         row = "".join(f"{mean:10.3f}" for mean in means)
         lines.append(
-            f"{name:20} {len(figures):5d}{row}  ±{_find_interval(figures):.3f}"
+            f"{name:20} {len(figures):5d}{row}  ±{_compute_interval(figures):.3f}"
         )
     return "\n".join(lines)
 
 
-def _find_interval(figures: Sequence[Figures]) -> float:
+def _compute_interval(figures: Sequence[Figures]) -> float:
     if len(figures) < 2:
         return 0.0
     deviation = statistics.stdev(entry.worth for entry in figures)
-    return ERRORS * deviation / len(figures) ** 0.5
+    return INTERVAL_STANDARD_ERRORS * deviation / len(figures) ** 0.5
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["EmulatedInstance", "Surroundings", "build_instance"]
+__all__ = ["EmulatedInstance", "InstanceEnvironment", "build_instance"]
 
 import random
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 from ashpond.decisions.prompts import Prompt
 from ashpond.decisions.quarantine import CrashRecords
 from ashpond.emulator.engines import EmulatedEngine
-from ashpond.emulator.permits import EmulatedKeeper
+from ashpond.emulator.permits import EmulatedCoordinator
 from ashpond.emulator.scenarios import Scenario
 from ashpond.emulator.wire import (
     EmulatedPool,
@@ -52,7 +52,7 @@
 SERVICE = "engines"
 MODEL = "m"
 # Instances and engines are spread over so many failure domains.
-DOMAINS = 4
+FAILURE_DOMAINS = 4
 MAX_CONNECTIONS = 400
 # Each instance has a budget of its own: a share, and a slack in a window (seconds).
 RETRY_SHARE = 0.2
@@ -64,15 +64,15 @@
 REQUIRED_SHARE = 0.85
 
 
-class Surroundings(NamedTuple):
+class InstanceEnvironment(NamedTuple):
     """What an instance meets; ``tell`` and ``announce`` reach the other instances."""
 
     scenario: Scenario
     engines: dict[str, EmulatedEngine]
     pool: EmulatedPool
     store: MemoryStore
-    keeper: EmulatedKeeper
-    tell: Callable[[list[CacheEntry]], None]
+    coordinator: EmulatedCoordinator
+    report_entries: Callable[[list[CacheEntry]], None]
     announce: Callable[[ServerNotice], None]
 
 
@@ -80,60 +80,64 @@
     """The parts of one instance that the world looks into."""
 
     table: ServerTable
-    holdings: CacheIndex
-    places: ReservationQueue
+    cache_index: CacheIndex
+    reservations: ReservationQueue
     knowledge: Knowledge
-    statements: ServerDirectives
+    directives: ServerDirectives
     rollouts: RolloutController
     dispatcher: Dispatcher
 
 
-def build_instance(number: int, around: Surroundings) -> EmulatedInstance:
+def build_instance(number: int, environment: InstanceEnvironment) -> EmulatedInstance:
     """Return an instance that knows all engines; its random numbers are its own."""
-    table = _build_table(around)
+    table = _build_table(environment)
     knowledge = Knowledge()
-    knowledge.adopt(_build_declaration(around.scenario))
-    holdings = CacheIndex()
-    rng = random.Random(f"{around.scenario.seed}/{number}")
+    knowledge.adopt(_build_declaration(environment.scenario))
+    cache_index = CacheIndex()
+    rng = random.Random(f"{environment.scenario.seed}/{number}")
     log = DecisionLog(f"i{number}")
     budget = FleetRetryBudget(RETRY_SHARE, RETRY_SLACK, RETRY_WINDOW, -RETRY_WINDOW)
 
-    def find_required(model: str, now: float) -> int:
-        bound = around.scenario.bound_seconds * REQUIRED_SHARE
+    def find_required_version(model: str, now: float) -> int:
+        bound = environment.scenario.bound_seconds * REQUIRED_SHARE
         return knowledge.find_possible_version(model, now - bound)
 
-    def note_held(state: ServerState, salt: str, prompt: Prompt) -> None:
+    def note_cached(state: ServerState, salt: str, prompt: Prompt) -> None:
         now = trio.current_time()
-        around.tell(holdings.note_read(state.info.id, salt, prompt, now))
+        environment.report_entries(
+            cache_index.note_read(state.info.id, salt, prompt, now)
+        )
 
-    places = ReservationQueue(
+    reservations = ReservationQueue(
         table,
-        holdings,
+        cache_index,
         CacheStores(),
         make_domain(number),
         lambda: knowledge.declaration,
         knowledge.find_required_version,
-        find_required,
+        find_required_version,
         rng,
     )
-    permits = Permits(around.keeper, lambda outcome: None, rng, places.assign)
-    statements = ServerDirectives(
-        table, log, lambda kind: None, around.announce, rng, permits.on_limit
+    permits = Permits(
+        environment.coordinator, lambda outcome: None, rng, reservations.assign
+    )
+    directives = ServerDirectives(
+        table, log, lambda kind: None, environment.announce, rng, permits.on_limit
     )
     context = DispatchContext(
-        places,
-        around.pool,  # type: ignore[arg-type]
-        build_codec(around.pool.memo),
+        reservations,
+        environment.pool,  # type: ignore[arg-type]
+        build_codec(environment.pool.records),
         b"id",
         knowledge,
         log,
         lambda service: budget,
-        lambda: around.scenario.instances,
-        note_held,
+        lambda: environment.scenario.instances,
+        note_cached,
         lambda call, team: None,
         CrashDetector(_check_nothing, log.note, lambda lost: None),
-        statements,
-        _build_quarantine(around, log),
+        directives,
+        _build_quarantine(environment, log),
         lambda state, seconds: None,
         grant_unlimited,
         lambda taken: None,
@@ -141,28 +145,30 @@
         lambda kind: None,
         rng,
     )
-    rollouts = _build_rollouts(number, around, table, knowledge, places, budget)
+    rollouts = _build_rollouts(
+        number, environment, table, knowledge, reservations, budget
+    )
     dispatcher = Dispatcher(context)
     return EmulatedInstance(
-        table, holdings, places, knowledge, statements, rollouts, dispatcher
+        table, cache_index, reservations, knowledge, directives, rollouts, dispatcher
     )
 
 
 def make_domain(number: int) -> str:
     """Return the failure domain of an instance or engine."""
-    return f"d{number % DOMAINS}"
+    return f"d{number % FAILURE_DOMAINS}"
 
 
 async def _check_nothing(server: WatchedServer) -> Reach:
     return Reach.UNKNOWN
 
 
-def _build_quarantine(around: Surroundings, log: DecisionLog) -> Quarantine:
+def _build_quarantine(environment: InstanceEnvironment, log: DecisionLog) -> Quarantine:
     """Return one that nothing is told to: no emulated request ends its engine."""
     return Quarantine(
         log.instance,
         CrashRecords(QUARANTINE_SECONDS),
-        around.store.build_port(),
+        environment.store.build_port(),
         StoreClock(),
         log,
         GatewayMetrics(),
@@ -173,7 +179,7 @@
     )
 
 
-def _build_table(around: Surroundings) -> ServerTable:
+def _build_table(environment: InstanceEnvironment) -> ServerTable:
     table = ServerTable()
     servers = [
         BackendServer(
@@ -181,12 +187,12 @@
             service=SERVICE,
             address=make_address(name),
             failure_domain=make_domain(number),
-            slots=around.scenario.shape.slots,
+            slots=environment.scenario.shape.slots,
             is_draining=False,
             cold_seconds=0.0,
             weights={MODEL: 1},
         )
-        for number, name in enumerate(around.engines)
+        for number, name in enumerate(environment.engines)
     ]
     table.replace_all(servers, 0.0, may_reappear=False)
     return table
@@ -201,23 +207,23 @@
 
 def _build_rollouts(
     number: int,
-    around: Surroundings,
+    environment: InstanceEnvironment,
     table: ServerTable,
     knowledge: Knowledge,
-    places: ReservationQueue,
+    reservations: ReservationQueue,
     budget: FleetRetryBudget,
 ) -> RolloutController:
     return RolloutController(
         f"i{number}",
         table,
         knowledge,
-        around.store.build_port(),
+        environment.store.build_port(),
         StoreClock(),
-        build_engine_port(around.engines),
+        build_engine_port(environment.engines),
         DecisionLog(f"i{number}"),
-        lambda: [f"i{n}" for n in range(around.scenario.instances)],
-        around.announce,
-        places.assign,
+        lambda: [f"i{n}" for n in range(environment.scenario.instances)],
+        environment.announce,
+        reservations.assign,
         lambda service: budget.measure_left(1, trio.current_time()),
         LEASE_SECONDS,
     )
--- a/ashpond/emulator/permits.py
+++ b/ashpond/emulator/permits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["EmulatedKeeper"]
+__all__ = ["EmulatedCoordinator"]
 
 import random
 
@@ -22,7 +22,7 @@
 HAND_OVER_SECONDS = 0.25
 
 
-class EmulatedKeeper:
+class EmulatedCoordinator:
     """Decides as the keeper of a fleet that hands it all of its time.
 
     :param delay: one way between instances (seconds).
--- a/ashpond/emulator/wire.py
+++ b/ashpond/emulator/wire.py
@@ -2,7 +2,13 @@
 
 from __future__ import annotations
 
-__all__ = ["EmulatedPool", "Memo", "build_codec", "build_engine_port", "make_address"]
+__all__ = [
+    "EmulatedPool",
+    "RequestRecords",
+    "build_codec",
+    "build_engine_port",
+    "make_address",
+]
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -32,7 +38,7 @@
 ORDER_SECONDS = 0.003
 
 
-class Memo:
+class RequestRecords:
     """What the router told the engines of each request, by the request's id.
 
     ``outputs`` is how many tokens each answer has; ``runs`` are in order.
@@ -44,23 +50,27 @@
         self.runs: dict[str, list[Run]] = {}
 
 
-def build_codec(memo: Memo) -> Codec:
+def build_codec(records: RequestRecords) -> Codec:
     """Return a codec that keeps instructions as they are."""
 
     def write_headers(envelope: Envelope, instructions: Instructions) -> Headers:
-        memo.sent[envelope.request_id] = (envelope, instructions)
+        records.sent[envelope.request_id] = (envelope, instructions)
         return []
 
     def read_answer_headers(headers: Headers) -> AnswerHeaders:
-        marks = dict(headers)
+        answer_headers = dict(headers)
         return AnswerHeaders(
             None,
-            b"not-run" in marks,
+            b"not-run" in answer_headers,
             None,
             None,
-            rate_limit=float(marks[LIMIT]) if LIMIT in marks else None,
-            is_leaving=LEAVING in marks,
-            backoff=float(marks[BACKOFF]) if BACKOFF in marks else None,
+            rate_limit=float(answer_headers[LIMIT])
+            if LIMIT in answer_headers
+            else None,
+            is_leaving=LEAVING in answer_headers,
+            backoff=float(answer_headers[BACKOFF])
+            if BACKOFF in answer_headers
+            else None,
         )
 
     return Codec(lambda headers: None, write_headers, read_answer_headers)
@@ -123,22 +133,24 @@
         """
         assert request.request_id is not None
         await trio.sleep(self.pool.delay)
-        envelope, instructions = self.pool.memo.sent[request.request_id]
+        envelope, instructions = self.pool.records.sent[request.request_id]
         prompt = envelope.prompt
         assert prompt is not None
         self.engine.arrivals.append(trio.current_time())
-        said = format_statement(self.engine)
-        is_rejecting = any(name == BACKOFF for name, _ in said)
+        statement_headers = format_statement(self.engine)
+        is_rejecting = any(name == BACKOFF for name, _ in statement_headers)
         if self.engine.ordered_version is not None or is_rejecting:
-            return EmulatedResponse(503, [*NOT_RUN, *said], None)
+            return EmulatedResponse(503, [*NOT_RUN, *statement_headers], None)
         if instructions.weights_version != self.engine.version:
-            return EmulatedResponse(421, said, None)
+            return EmulatedResponse(421, statement_headers, None)
         urgency = instructions.urgency
-        earlier = self.pool.memo.runs.setdefault(request.request_id, [])
+        earlier = self.pool.records.runs.setdefault(request.request_id, [])
         run = Run(
             prompt,
             instructions.salt or "",
-            earlier[-1].left if earlier else self.pool.memo.outputs[request.request_id],
+            earlier[-1].tokens_left
+            if earlier
+            else self.pool.records.outputs[request.request_id],
             DEFAULT_URGENCY if urgency is None else urgency,
         )
         earlier.append(run)
@@ -150,7 +162,7 @@
             run.is_cancelled = not run.has_begun.is_set()
         if run.is_broken:
             raise ChannelError("the engine crashed", is_sent=True)
-        return EmulatedResponse(200, said, run)
+        return EmulatedResponse(200, statement_headers, run)
 
     def close(self) -> None:
         """Do nothing; a run that is not read to its end is cancelled."""
@@ -162,8 +174,13 @@
     :param delay: one way between instances and engines (seconds).
     """
 
-    def __init__(self, engines: Mapping[str, EmulatedEngine], memo: Memo, delay: float):
-        self.memo = memo
+    def __init__(
+        self,
+        engines: Mapping[str, EmulatedEngine],
+        records: RequestRecords,
+        delay: float,
+    ):
+        self.records = records
         self.delay = delay
         self.by_address = {make_address(name): e for name, e in engines.items()}
 
@@ -197,7 +214,7 @@
             return OrderRefused(409)
         if engine.version == order.version:
             return OrderAccepted(is_in_force=True)
-        engine.order(order.version, cuts_runs=order.cuts_runs)
+        engine.order_weights(order.version, cuts_runs=order.cuts_runs)
         return OrderAccepted(is_in_force=False)
 
     async def report(server: BackendServer) -> EngineReport | NotRun:
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/world.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["Outcome", "play", "run_scenario"]
+__all__ = ["Outcome", "simulate", "run_scenario"]
 
 import random
 from typing import NamedTuple
@@ -18,18 +18,18 @@
     MODEL,
     SERVICE,
     EmulatedInstance,
-    Surroundings,
+    InstanceEnvironment,
     build_instance,
 )
-from ashpond.emulator.permits import EmulatedKeeper
+from ashpond.emulator.permits import EmulatedCoordinator
 from ashpond.emulator.scenarios import Crash, EngineStatement, RequestKind, Scenario
-from ashpond.emulator.wire import EmulatedPool, Memo
+from ashpond.emulator.wire import EmulatedPool, RequestRecords
 from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.admission import AcceptedCall
 from ashpond.gateway.calls import Envelope, Headers, IncomingCall
 from ashpond.standins.tables import MemoryStore
 
-WALL = "shared"
+CACHE_NAMESPACE = "shared"
 # Instances hear of a notice after this, one way and a turn of their loops (seconds).
 NOTICE_DELAY = 0.004
 # Answers on older weights cost a fifth from this after a version was named (seconds).
@@ -48,7 +48,7 @@
     asked_at: float
     first_after: float | None
     tries: int
-    held: float
+    refused_seconds: float
     has_paused: bool
     is_stale: bool
 
@@ -93,7 +93,7 @@
         pass
 
 
-class _World:
+class _Simulation:
     """One scenario while it is played.
 
     Simpler than real: news arrive all at once every ``news_seconds``, and each
@@ -104,26 +104,32 @@
         self.scenario = scenario
         self.rng = random.Random(scenario.seed)
         self.outcomes: list[Outcome] = []
-        self.told: list[CacheEntry] = []
+        self.pending_entries: list[CacheEntry] = []
         ever_read: set[tuple[str, str]] = set()
         names = [f"e{n}" for n in range(scenario.engines)]
         self.engines = {n: EmulatedEngine(n, scenario.shape, ever_read) for n in names}
-        self.memo = Memo()
+        self.records = RequestRecords()
         self.store = MemoryStore()
-        self.keeper = EmulatedKeeper(scenario.delay, random.Random(scenario.seed))
-        self.named: list[tuple[float, int]] = []
-        self.pool = EmulatedPool(self.engines, self.memo, scenario.delay)
-        self.notices, self.heard = trio.open_memory_channel[ServerNotice](1_000)
-        around = Surroundings(
+        self.coordinator = EmulatedCoordinator(
+            scenario.delay, random.Random(scenario.seed)
+        )
+        self.announced_versions: list[tuple[float, int]] = []
+        self.pool = EmulatedPool(self.engines, self.records, scenario.delay)
+        self.notice_sender, self.notice_receiver = trio.open_memory_channel[
+            ServerNotice
+        ](1_000)
+        environment = InstanceEnvironment(
             scenario,
             self.engines,
             self.pool,
             self.store,
-            self.keeper,
-            lambda holdings: self.told.extend(holdings),
-            self.notices.send_nowait,
+            self.coordinator,
+            lambda entries: self.pending_entries.extend(entries),
+            self.notice_sender.send_nowait,
         )
-        self.instances = [build_instance(n, around) for n in range(scenario.instances)]
+        self.instances = [
+            build_instance(n, environment) for n in range(scenario.instances)
+        ]
         self._count = 0
 
     async def run(self) -> list[Outcome]:
@@ -131,17 +137,17 @@
         async with trio.open_nursery() as background:
             for engine in self.engines.values():
                 background.start_soon(engine.run)
-            background.start_soon(self.keeper.run)
-            background.start_soon(self._spread_news)
-            background.start_soon(self._take_notices)
+            background.start_soon(self.coordinator.run)
+            background.start_soon(self._spread_updates)
+            background.start_soon(self._apply_notices)
             for instance in self.instances:
                 background.start_soon(instance.rollouts.run)
-                background.start_soon(self._tell_versions, instance)
+                background.start_soon(self._announce_versions, instance)
             async with trio.open_nursery() as nursery:
                 for crash in self.scenario.crashes:
-                    nursery.start_soon(self._strike, crash)
+                    nursery.start_soon(self._crash_engine, crash)
                 for statement in self.scenario.statements:
-                    nursery.start_soon(self._speak, statement)
+                    nursery.start_soon(self._apply_statement, statement)
                 for kind in self.scenario.kinds:
                     nursery.start_soon(self._send_all, kind, nursery)
             background.cancel_scope.cancel()
@@ -152,7 +158,7 @@
             await trio.sleep(self.rng.expovariate(kind.per_second))
             if trio.current_time() > self.scenario.seconds:
                 return
-            nursery.start_soon(self._ask, kind, self._build_prompt(kind))
+            nursery.start_soon(self._run_client, kind, self._build_prompt(kind))
 
     def _build_prompt(self, kind: RequestKind) -> Prompt:
         self._count += 1
@@ -166,32 +172,32 @@
         tokens = sum(part.tokens for part in parts)
         return Prompt(MODEL, tokens, kind.output_tokens, parts)
 
-    async def _ask(self, kind: RequestKind, prompt: Prompt) -> None:
+    async def _run_client(self, kind: RequestKind, prompt: Prompt) -> None:
         asked_at = trio.current_time()
-        held = 0.0
+        refused_seconds = 0.0
         tries = 0
         served_at: float | None = None
         while tries <= kind.retries:
             tries += 1
             request_id = f"{prompt.parts[-1].id}/{tries}"
-            self.memo.outputs[request_id] = kind.output_tokens
+            self.records.outputs[request_id] = kind.output_tokens
             began = trio.current_time()
-            reply = await self._try(kind, prompt, request_id, began)
+            reply = await self._send_attempt(kind, prompt, request_id, began)
             if reply.is_whole and reply.status == 200:
                 served_at = reply.first_at
                 break
-            held += trio.current_time() - began
+            refused_seconds += trio.current_time() - began
             if reply.retry_after is None:
                 break
             await trio.sleep(reply.retry_after)
         first_after = None if served_at is None else served_at - asked_at
-        runs = self.memo.runs.get(request_id, [])
+        runs = self.records.runs.get(request_id, [])
         outcome = Outcome(
             kind,
             asked_at,
             first_after,
             tries,
-            held,
+            refused_seconds,
             _find_longest_pause(runs) > kind.longest_pause,
             self._is_stale(request_id, runs),
         )
@@ -200,11 +206,15 @@
     def _is_stale(self, request_id: str, runs: list[Run]) -> bool:
         if not runs or runs[0].begun_at is None:
             return False
-        version = self.memo.sent[request_id][1].weights_version or 0
-        counts = [v for at, v in self.named if at + STALE_AFTER < runs[0].begun_at]
+        version = self.records.sent[request_id][1].weights_version or 0
+        counts = [
+            v
+            for at, v in self.announced_versions
+            if at + STALE_AFTER < runs[0].begun_at
+        ]
         return version < max(counts, default=0)
 
-    async def _try(
+    async def _send_attempt(
         self, kind: RequestKind, prompt: Prompt, request_id: str, now: float
     ) -> _Reply:
         instance = self.rng.choice(self.instances)
@@ -215,15 +225,17 @@
             kind.timeout, kind.objective, 2 if kind.is_resumable else 1,
             kind.priority, is_resumable=kind.is_resumable,
         )  # fmt: skip
-        accepted = AcceptedCall(route, None, now + kind.timeout, kind.priority, WALL)
+        accepted = AcceptedCall(
+            route, None, now + kind.timeout, kind.priority, CACHE_NAMESPACE
+        )
         reply = _Reply()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._leave_late, kind, reply, nursery.cancel_scope)
+            nursery.start_soon(self._cancel_late, kind, reply, nursery.cancel_scope)
             await instance.dispatcher.dispatch(call, accepted, reply)
             nursery.cancel_scope.cancel()
         return reply
 
-    async def _leave_late(
+    async def _cancel_late(
         self, kind: RequestKind, reply: _Reply, scope: trio.CancelScope
     ) -> None:
         """Leave, as clients do, if the first event takes too long."""
@@ -231,30 +243,34 @@
         if reply.first_at is None:
             scope.cancel()
 
-    async def _spread_news(self) -> None:
+    async def _spread_updates(self) -> None:
         """Tell all instances of one another's work and holdings, late."""
-        told = [instance.table.list_own_loads() for instance in self.instances]
+        reported_loads = [
+            instance.table.list_own_loads() for instance in self.instances
+        ]
         while True:
             await trio.sleep(self.scenario.news_seconds)
             now = trio.current_time()
-            for number, loads in enumerate(told):
+            for number, loads in enumerate(reported_loads):
                 for other, instance in enumerate(self.instances):
                     if other != number:
                         instance.table.note_peer_loads(f"i{number}", loads, now)
-            holdings, self.told = self.told, []
+            entries, self.pending_entries = self.pending_entries, []
             for instance in self.instances:
-                for holding in holdings:
-                    instance.holdings.note_reported(holding, now)
-            told = [instance.table.list_own_loads() for instance in self.instances]
+                for entry in entries:
+                    instance.cache_index.note_reported(entry, now)
+            reported_loads = [
+                instance.table.list_own_loads() for instance in self.instances
+            ]
 
-    async def _strike(self, crash: Crash) -> None:
+    async def _crash_engine(self, crash: Crash) -> None:
         await trio.sleep(crash.at)
         engine = list(self.engines.values())[crash.engine]
         engine.crash()
         await trio.sleep(crash.seconds)
         engine.restart()
 
-    async def _speak(self, statement: EngineStatement) -> None:
+    async def _apply_statement(self, statement: EngineStatement) -> None:
         """Let an engine say something of itself for a while."""
         await trio.sleep(statement.at)
         engine = list(self.engines.values())[statement.engine]
@@ -262,22 +278,22 @@
         await trio.sleep(statement.seconds)
         engine.statement = None
 
-    async def _tell_versions(self, instance: EmulatedInstance) -> None:
+    async def _announce_versions(self, instance: EmulatedInstance) -> None:
         for number, at in enumerate(self.scenario.versions_at):
             await trio.sleep_until(at)
             if instance is self.instances[0]:
-                self.named.append((at, number + 2))
+                self.announced_versions.append((at, number + 2))
             target = WeightTarget(MODEL, number + 2)
             instance.knowledge.adopt_target(target, trio.current_time())
 
-    async def _take_notices(self) -> None:
-        async for notice in self.heard:
+    async def _apply_notices(self) -> None:
+        async for notice in self.notice_receiver:
             await trio.sleep(NOTICE_DELAY)
             now = trio.current_time()
             for instance in self.instances:
                 state = instance.table.by_id[notice.server_id]
                 if notice.limit is not None or notice.is_leaving:
-                    instance.statements.apply_notice(state, notice)
+                    instance.directives.apply_notice(state, notice)
                     continue
                 instance.rollouts.note_progress()
                 state.update_weights(notice.model, notice.version)
@@ -285,7 +301,7 @@
                     state.exclude_for(notice.excluded_seconds, now)
                 else:
                     state.readmit()
-                    instance.places.assign()
+                    instance.reservations.assign()
 
 
 def _find_longest_pause(runs: list[Run]) -> float:
@@ -297,9 +313,9 @@
     return longest
 
 
-async def play(scenario: Scenario) -> list[Outcome]:
+async def simulate(scenario: Scenario) -> list[Outcome]:
     """Play a scenario on the clock of the running loop."""
-    return await _World(scenario).run()
+    return await _Simulation(scenario).run()
 
 
 def run_scenario(scenario: Scenario) -> list[Outcome]:
@@ -309,4 +325,4 @@
     trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     trio_run._r.seed(scenario.seed)
     clock = trio.testing.MockClock(autojump_threshold=0)
-    return trio.run(play, scenario, clock=clock)
+    return trio.run(simulate, scenario, clock=clock)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,7 +19,7 @@
     Scenario,
     StatementKind,
 )
-from ashpond.emulator.world import _World, run_scenario
+from ashpond.emulator.world import _Simulation, run_scenario
 from ashpond.errors import InputError
 from tests.gateway_builders import make_prompt
 
@@ -42,7 +42,7 @@
     return Run(make_prompt("rules", "shop", own, tokens=4000), "salt", 10, 5)
 
 
-async def test_what_is_cached_is_not_read_again(autojump_clock: object) -> None:
+async def test_cached_prompt_parts_are_not_read_again(autojump_clock: object) -> None:
     engine = EmulatedEngine("e", SHAPE, set())
     first = await run_one(engine, make_run())
     assert 12_000 / 40_000 < first < 12_000 / 40_000 + 0.06
@@ -50,7 +50,7 @@
     assert (engine.tokens_read, engine.tokens_read_again) == (16_000, 0)
 
 
-async def test_a_fetch_spares_reading_and_takes_its_time_on_the_link(
+async def test_fetched_parts_are_not_read_and_take_link_time(
     autojump_clock: object,
 ) -> None:
     ever_read: set[tuple[str, str]] = set()
@@ -63,7 +63,7 @@
     assert other.tokens_read == 4000
 
 
-async def test_an_order_ends_the_runs_first_and_forgets_what_is_cached(
+async def test_weights_load_after_the_runs_end_and_clear_the_cache(
     autojump_clock: object,
 ) -> None:
     engine = EmulatedEngine("e", SHAPE, set())
@@ -72,12 +72,12 @@
         nursery.start_soon(engine.run)
         engine.submit(run, None)
         await run.has_begun.wait()
-        engine.order(2, cuts_runs=False)
+        engine.order_weights(2, cuts_runs=False)
         await run.has_ended.wait()
         assert (engine.version, run.is_broken) == (1, False)
         await trio.sleep(SHAPE.load_seconds + 0.1)
         nursery.cancel_scope.cancel()
-    assert (engine.version, engine.holds("salt", "rules")) == (2, False)
+    assert (engine.version, engine.has_cached("salt", "rules")) == (2, False)
 
 
 def test_the_same_seed_gives_the_same_outcomes() -> None:
@@ -86,7 +86,7 @@
     assert run_scenario(scenario) != run_scenario(scenario._replace(seed=2))
 
 
-def test_callers_get_what_the_scenarios_state() -> None:
+def test_callers_earn_most_of_the_worth_despite_crashes() -> None:
     """Shares of worth with seed 1, as measured: 1.0 calm, 0.978 with two crashes."""
     calm = measure(Scenario((CHECK,), seconds=10.0))
     assert calm.worth > 0.98
@@ -120,7 +120,7 @@
         ('"leaving"], [9', '"gone"], [9', "(file)", "Invalid enum value"),
     ],
 )
-def test_a_fault_names_file_key_and_reason(
+def test_an_invalid_experiment_file_names_file_key_and_reason(
     tmp_path: Path, old: str, new: str, key: str, reason: str
 ) -> None:
     path = tmp_path / "lab.toml"
@@ -135,7 +135,7 @@
     assert reason in problem
 
 
-def test_the_command_shows_a_row_a_scenario(tmp_path: Path) -> None:
+def test_the_lab_command_prints_a_repeatable_row_per_scenario(tmp_path: Path) -> None:
     path = tmp_path / "lab.toml"
     text = "seeds = 2\n[kinds.a]\nper_second = 5.0\nobjective = 0.6\ntimeout = 6.0\n"
     text += '[scenarios.calm]\nkinds = ["a"]\nseconds = 2.0\n'
@@ -162,7 +162,7 @@
         (EngineStatement(4.0, 0, 16.0, StatementKind.LEAVING),),
     ],
 )
-def test_callers_do_not_pay_for_what_an_engine_asks_for(
+def test_callers_are_served_while_engines_limit_back_off_or_leave(
     statements: tuple[EngineStatement, ...], instances: int
 ) -> None:
     """Three of five engines and more go on as before."""
@@ -174,9 +174,9 @@
     assert figures.worth > 0.95
 
 
-def test_emulated_engines_get_what_they_ask_for() -> None:
+def test_engines_receive_requests_only_within_their_statements() -> None:
     """Arrivals of all instances, from 3 s after the first word."""
-    world = _World(
+    simulation = _Simulation(
         Scenario(
             (CHECK, NOTE),
             seconds=20.0,
@@ -188,12 +188,14 @@
         )
     )
     clock = trio.testing.MockClock(autojump_threshold=0)
-    trio.run(world.run, clock=clock)
-    limited, resting, leaving = (world.engines[f"e{n}"].arrivals for n in range(3))
-    named = [at for at in limited if 7.0 <= at <= 16.0]
-    windows = [sum(1 for at in named if end - 4.0 <= at <= end) for end in named]
-    assert max(windows) <= 1.5 * 1.5 * 4 + 5
-    assert len(named) >= 0.7 * 1.5 * 9
+    trio.run(simulation.run, clock=clock)
+    limited, resting, leaving = (simulation.engines[f"e{n}"].arrivals for n in range(3))
+    arrivals = [at for at in limited if 7.0 <= at <= 16.0]
+    window_counts = [
+        sum(1 for at in arrivals if end - 4.0 <= at <= end) for end in arrivals
+    ]
+    assert max(window_counts) <= 1.5 * 1.5 * 4 + 5
+    assert len(arrivals) >= 0.7 * 1.5 * 9
     assert not [at for at in leaving if at > 6.5]
     # Eight instances, of which each may have two on their way in a rest of 3 s.
     assert len([at for at in resting if 4.5 <= at <= 12.0]) <= 8 * 3 * 3
