--- a/ashpond/application.py
+++ b/ashpond/application.py
@@ -23,7 +23,7 @@
     ConfigAnswer,
     ConfigRequest,
     PeerMessage,
-    ask_peer,
+    query_peer,
 )
 from ashpond.clients.platform import PlatformClient
 from ashpond.controllers.admission import AdmissionController
@@ -261,7 +261,7 @@
             self.engines.import_views(answer.views)
 
     async def _ask(self, address: str, message: PeerMessage) -> object:
-        return await ask_peer(
+        return await query_peer(
             address,
             message,
             secret=self.settings.peer_secret,
--- a/ashpond/clients/channels.py
+++ b/ashpond/clients/channels.py
@@ -12,8 +12,8 @@
     "Channel",
     "ChannelError",
     "ChannelPool",
-    "Outgoing",
-    "Reach",
+    "OutgoingRequest",
+    "ConnectResult",
     "Response",
     "check_address",
 ]
@@ -27,7 +27,7 @@
 import trio
 
 from ashpond.addresses import parse_address
-from ashpond.clients.liveness import watch_liveness
+from ashpond.clients.liveness import enable_dead_peer_detection
 from ashpond.errors import AshpondError
 from ashpond.gateway.calls import Headers
 
@@ -37,7 +37,7 @@
 # A connection within a site is made in a few ms; a lost packet costs a second.
 CONNECT_SECONDS = 0.45
 # An idle connection is given up at this share of what the server allows.
-IDLE_SHARE = 0.7
+IDLE_LIMIT_SHARE = 0.7
 DEFAULT_IDLE_SECONDS = 4.0
 MAX_STALE_ANSWERS = 3
 
@@ -54,7 +54,7 @@
         self.is_refused = is_refused
 
 
-class Reach(Enum):
+class ConnectResult(Enum):
     """What an attempt to connect to a server shows."""
 
     CONNECTED = auto()
@@ -62,7 +62,7 @@
     UNKNOWN = auto()
 
 
-class Outgoing(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """A request to send. ``answer_id`` is the header that has to echo its id."""
 
     method: str
@@ -95,7 +95,7 @@
         """
         pieces = []
         size = 0
-        while piece := await self.channel.read_body(takes_ready=True):
+        while piece := await self.channel.read_body(shield_ready_data=True):
             size += len(piece)
             if size > limit:
                 raise ChannelError("the answer is too large", is_sent=True)
@@ -114,19 +114,19 @@
         self._stream = stream
         self._clock = clock
         self._conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=READ_BYTES)
-        self._is_sent = False
-        self._is_whole = False
+        self._has_sent_bytes = False
+        self._is_request_sent = False
         self._idle_seconds = DEFAULT_IDLE_SECONDS
         self._read_at = 0.0
         self._idle_since = 0.0
 
-    async def exchange(self, request: Outgoing) -> Response:
+    async def exchange(self, request: OutgoingRequest) -> Response:
         """Send a request and return its answer once the head is there.
 
         :raises ChannelError: if the connection fails.
         """
-        self._is_sent = False
-        self._is_whole = False
+        self._has_sent_bytes = False
+        self._is_request_sent = False
         self._read_at = self._clock()
         head = h11.Request(
             method=request.method, target=request.target, headers=request.headers
@@ -137,24 +137,26 @@
         data += self._conn.send(h11.EndOfMessage()) or b""
         if len(data) <= INLINE_BODY_BYTES:
             await self._send(data)
-            self._is_whole = True
+            self._is_request_sent = True
             return await self._read_head(request)
-        return await self._exchange_long(data, request)
+        return await self._exchange_while_sending(data, request)
 
-    async def _exchange_long(self, data: bytes, request: Outgoing) -> Response:
+    async def _exchange_while_sending(
+        self, data: bytes, request: OutgoingRequest
+    ) -> Response:
         # A server may answer before it has taken the body: read while sending.
         answers: list[Response] = []
         failures: list[ChannelError] = []
 
-        async def send_rest() -> None:
+        async def send_request() -> None:
             try:
                 await self._send(data)
-                self._is_whole = True
+                self._is_request_sent = True
             except ChannelError:
                 # The answer, if there is one, says more; reading will tell.
                 return
 
-        async def read_answer(scope: trio.CancelScope) -> None:
+        async def read_response_head(scope: trio.CancelScope) -> None:
             try:
                 answers.append(await self._read_head(request))
             except ChannelError as error:
@@ -162,38 +164,38 @@
             scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_rest)
-            nursery.start_soon(read_answer, nursery.cancel_scope)
+            nursery.start_soon(send_request)
+            nursery.start_soon(read_response_head, nursery.cancel_scope)
         if failures:
             raise failures[0]
         return answers[0]
 
     async def _send(self, data: bytes) -> None:
         try:
-            self._is_sent = True
+            self._has_sent_bytes = True
             await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError) as error:
             raise ChannelError(f"sending failed: {error!r}", is_sent=True) from error
 
-    async def _read_head(self, request: Outgoing) -> Response:
+    async def _read_head(self, request: OutgoingRequest) -> Response:
         for _ in range(MAX_STALE_ANSWERS):
-            event = await self._next_event(takes_ready=True)
+            event = await self._next_event(shield_ready_data=True)
             while isinstance(event, h11.InformationalResponse):
-                event = await self._next_event(takes_ready=True)
+                event = await self._next_event(shield_ready_data=True)
             if not isinstance(event, h11.Response):
                 raise ChannelError("no answer came", is_sent=True)
             headers = [(bytes(name), bytes(value)) for name, value in event.headers]
-            if _belongs(headers, request):
-                self._note_idle_limit(headers)
+            if _matches_request(headers, request):
+                self._read_idle_limit(headers)
                 return Response(self, event.status_code, headers)
             await self._skip_answer(request)
         raise ChannelError("only answers to other requests came", is_sent=True)
 
-    async def _skip_answer(self, request: Outgoing) -> None:
+    async def _skip_answer(self, request: OutgoingRequest) -> None:
         """Read past an answer to an earlier request of this connection."""
         while await self.read_body():
             pass
-        if not self._is_whole or self._conn.our_state is not h11.DONE:
+        if not self._is_request_sent or self._conn.our_state is not h11.DONE:
             raise ChannelError("an answer to another request came", is_sent=True)
         try:
             self._conn.start_next_cycle()
@@ -208,26 +210,26 @@
         except h11.ProtocolError as error:
             raise ChannelError("the connection is closing", is_sent=True) from error
 
-    async def read_body(self, *, takes_ready: bool = False) -> bytes:
+    async def read_body(self, *, shield_ready_data: bool = False) -> bytes:
         """Return the next piece of the body, empty at its complete end.
 
         :param takes_ready: also take what is there when a deadline has passed.
         :raises ChannelError: if the answer breaks off.
         """
-        event = await self._next_event(takes_ready=takes_ready)
+        event = await self._next_event(shield_ready_data=shield_ready_data)
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b""
         raise ChannelError("the answer broke off", is_sent=True)
 
-    async def _next_event(self, *, takes_ready: bool) -> object:
+    async def _next_event(self, *, shield_ready_data: bool) -> object:
         try:
             while True:
                 event = self._conn.next_event()
                 if event is not h11.NEED_DATA:
                     return event
-                data = await self._receive(takes_ready=takes_ready)
+                data = await self._receive(shield_ready_data=shield_ready_data)
                 if not data and self._conn.their_state is h11.SEND_RESPONSE:
                     reason = "the server ended the connection without an answer"
                     raise ChannelError(reason, is_sent=True)
@@ -237,11 +239,11 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError) as error:
             raise ChannelError(f"reading failed: {error!r}", is_sent=True) from error
 
-    async def _receive(self, *, takes_ready: bool) -> bytes:
+    async def _receive(self, *, shield_ready_data: bool) -> bytes:
         # An event loop that was held up learns of a deadline and of the answer at
         # once. What is there was there in time; taking it does not wait.
         is_ready = self._stream.socket.is_readable()
-        with trio.CancelScope(shield=is_ready and takes_ready):
+        with trio.CancelScope(shield=is_ready and shield_ready_data):
             data = await self._stream.receive_some(READ_BYTES)
         last_read_at, self._read_at = self._read_at, self._clock()
         # If this is the end, the server has been idle since it wrote it: what was
@@ -249,16 +251,16 @@
         self._idle_since = last_read_at if is_ready else self._read_at
         return bytes(data)
 
-    def _note_idle_limit(self, headers: Headers) -> None:
+    def _read_idle_limit(self, headers: Headers) -> None:
         for name, value in headers:
             if name == b"keep-alive":
                 seconds = _parse_idle_limit(value)
                 if seconds is not None:
-                    self._idle_seconds = seconds * IDLE_SHARE
+                    self._idle_seconds = seconds * IDLE_LIMIT_SHARE
 
-    def make_idle(self) -> bool:
+    def prepare_reuse(self) -> bool:
         """Prepare for another request; return whether that is possible."""
-        if not self._is_whole or self._conn.trailing_data != (b"", False):
+        if not self._is_request_sent or self._conn.trailing_data != (b"", False):
             return False
         if self._conn.our_state is not h11.DONE:
             return False
@@ -267,7 +269,7 @@
         self._conn.start_next_cycle()
         return True
 
-    def note_idle(self) -> None:
+    def start_idle_time(self) -> None:
         """Count the time without a request from now on."""
         self._idle_since = self._clock()
 
@@ -283,7 +285,7 @@
         self._stream.socket.close()
 
 
-def _belongs(headers: Headers, request: Outgoing) -> bool:
+def _matches_request(headers: Headers, request: OutgoingRequest) -> bool:
     if request.request_id is None:
         return True
     for name, value in headers:
@@ -300,11 +302,11 @@
     return None
 
 
-async def check_address(address: str) -> Reach:
+async def check_address(address: str) -> ConnectResult:
     """Connect to see whether anybody listens at an address, and close again."""
     pool = ChannelPool()
     reach = await pool.check("", address)
-    pool.forget("")
+    pool.close_idle("")
     return reach
 
 
@@ -338,7 +340,7 @@
             with trio.fail_after(CONNECT_SECONDS):
                 await sock.connect((target.host, target.port))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            watch_liveness(sock)
+            enable_dead_peer_detection(sock)
         except (OSError, trio.TooSlowError) as error:
             sock.close()
             is_refused = isinstance(error, ConnectionRefusedError)
@@ -351,19 +353,19 @@
         self.opened += 1
         return Channel(trio.SocketStream(sock), self._clock)
 
-    async def check(self, owner: str, address: str) -> Reach:
+    async def check(self, owner: str, address: str) -> ConnectResult:
         """Connect anew to see whether a server lives; a connection is kept for use."""
         try:
             channel = await self._connect(address)
         except ChannelError as error:
-            return Reach.REFUSED if error.is_refused else Reach.UNKNOWN
-        channel.note_idle()
+            return ConnectResult.REFUSED if error.is_refused else ConnectResult.UNKNOWN
+        channel.start_idle_time()
         self._idle.setdefault(owner, []).append(channel)
-        return Reach.CONNECTED
+        return ConnectResult.CONNECTED
 
     def release(self, owner: str, channel: Channel) -> None:
         """Take back a connection after a complete exchange."""
-        if channel.make_idle():
+        if channel.prepare_reuse():
             self._idle.setdefault(owner, []).append(channel)
         else:
             channel.close()
@@ -372,7 +374,7 @@
         """Return how many idle connections there are to a server."""
         return len(self._idle.get(owner, ()))
 
-    def forget(self, owner: str) -> None:
+    def close_idle(self, owner: str) -> None:
         """Close the idle connections to a server that has gone."""
         for channel in self._idle.pop(owner, []):
             channel.close()
--- a/ashpond/clients/keeper.py
+++ b/ashpond/clients/coordinator.py
@@ -4,13 +4,13 @@
 
 __all__ = [
     "AllowanceRequest",
-    "AllowanceVerdict",
+    "AllowanceDecision",
     "ReturnedAllowance",
     "decode_answer",
-    "decode_ask",
-    "decode_earned",
+    "decode_query",
+    "decode_accrued_time",
     "encode_answer",
-    "encode_ask",
+    "encode_query",
 ]
 
 from collections.abc import Sequence
@@ -21,12 +21,12 @@
 
 from ashpond.bounds import MAX_NUMBER, Amount, Count
 from ashpond.clients.fields import convert_list
-from ashpond.clients.peer import AllowanceAnswer, AllowanceAsk
+from ashpond.clients.peer import AllowanceAnswer, AllowanceQuery
 from ashpond.decisions.allowances import AllowanceUnit, TimeSpan
 from ashpond.errors import FrameError
 
 # A time on some process's clock; no other is added to an account (seconds).
-Moment = Annotated[float, Meta(ge=-float(MAX_NUMBER), le=float(MAX_NUMBER))]
+ClockSeconds = Annotated[float, Meta(ge=-float(MAX_NUMBER), le=float(MAX_NUMBER))]
 
 
 class AllowanceRequest(NamedTuple):
@@ -45,7 +45,7 @@
     burst: Amount
     cost: Count
     urgency: Count
-    patience: Amount
+    timeout: Amount
 
 
 class ReturnedAllowance(NamedTuple):
@@ -56,7 +56,7 @@
     cost: Count
 
 
-class AllowanceVerdict(NamedTuple):
+class AllowanceDecision(NamedTuple):
     """The keeper's answer to one request; fields are as in its decisions."""
 
     number: Count
@@ -66,75 +66,75 @@
     share: Amount
 
 
-class _Moments(NamedTuple):
+class _StoredTimeSpan(NamedTuple):
     # A keeper that has just started shows less than what was earned before.
-    begin: Moment
-    end: Moment
+    begin: ClockSeconds
+    end: ClockSeconds
 
 
-def encode_ask(
+def encode_query(
     sender: str,
-    slots: int,
-    slot: int,
-    earned: TimeSpan | None,
+    hash_slots: int,
+    hash_slot: int,
+    accrued: TimeSpan | None,
     requests: Sequence[AllowanceRequest] = (),
     returned: Sequence[ReturnedAllowance] = (),
     *,
     wants_time: bool = False,
-) -> AllowanceAsk:
+) -> AllowanceQuery:
     """Return the message that asks a keeper, or only hands it time."""
-    return AllowanceAsk(
+    return AllowanceQuery(
         sender,
-        slots,
-        slot,
+        hash_slots,
+        hash_slot,
         wants_time,
-        [] if earned is None else list(earned),
+        [] if accrued is None else list(accrued),
         [list(request) for request in requests],
         [list(entry) for entry in returned],
     )
 
 
-def decode_ask(
-    message: AllowanceAsk,
+def decode_query(
+    message: AllowanceQuery,
 ) -> tuple[list[AllowanceRequest], list[ReturnedAllowance]]:
     """Return the requests of a message, and what it gives back.
 
     :raises FrameError: if it makes no sense.
     """
     try:
-        requests = convert_list(message.asks, AllowanceRequest)
+        requests = convert_list(message.requests, AllowanceRequest)
         return requests, convert_list(message.returned, ReturnedAllowance)
     except ValueError as error:
         raise FrameError(f"an ask that makes no sense: {error!r}") from error
 
 
-def decode_earned(message: AllowanceAsk) -> TimeSpan | None:
+def decode_accrued_time(message: AllowanceQuery) -> TimeSpan | None:
     """Return the time that a message hands over, on the keeper's clock.
 
     :raises FrameError: if it makes no sense.
     """
-    if not message.earned:
+    if not message.accrued:
         return None
     try:
-        return TimeSpan(*msgspec.convert(message.earned, _Moments))
+        return TimeSpan(*msgspec.convert(message.accrued, _StoredTimeSpan))
     except ValueError as error:
         raise FrameError(f"time that makes no sense: {error!r}") from error
 
 
 def encode_answer(
-    now: float, verdicts: Sequence[AllowanceVerdict] = ()
+    now: float, decisions: Sequence[AllowanceDecision] = ()
 ) -> AllowanceAnswer:
     """Return the message that answers an ask."""
-    return AllowanceAnswer(now, [list(verdict) for verdict in verdicts])
+    return AllowanceAnswer(now, [list(decision) for decision in decisions])
 
 
-def decode_answer(message: AllowanceAnswer) -> list[AllowanceVerdict]:
+def decode_answer(message: AllowanceAnswer) -> list[AllowanceDecision]:
     """Return a keeper's verdicts.
 
     :raises FrameError: if they, or its clock, make no sense.
     """
     try:
-        msgspec.convert(message.now, Moment)
-        return convert_list(message.answers, AllowanceVerdict)
+        msgspec.convert(message.now, ClockSeconds)
+        return convert_list(message.answers, AllowanceDecision)
     except ValueError as error:
         raise FrameError(f"an answer that makes no sense: {error!r}") from error
--- a/ashpond/clients/engine.py
+++ b/ashpond/clients/engine.py
@@ -133,14 +133,14 @@
     if request.after:
         headers["X-Resume-After"] = str(request.after)
     url = f"http://{address}{request.path}"
-    timeout = limit_silence(client, request.stall_seconds)
-    built = client.build_request(
+    timeout = make_idle_timeout(client, request.stall_seconds)
+    http_request = client.build_request(
         "POST", url, content=request.body, headers=headers, timeout=timeout
     )
-    return await _send(client, built, address, request.attempt)
+    return await _send(client, http_request, address, request.attempt)
 
 
-def limit_silence(client: httpx.AsyncClient, seconds: float) -> httpx.Timeout:
+def make_idle_timeout(client: httpx.AsyncClient, seconds: float) -> httpx.Timeout:
     """Return the client's time limits with another bound on silence."""
     base = client.timeout
     return httpx.Timeout(seconds, connect=base.connect, pool=base.pool)
@@ -151,15 +151,15 @@
 ) -> Answered | NotRun | MaybeRun:
     """Ask the same engine for the rest of a stream."""
     url = f"http://{address}/v1/streams/{stream}?after={after}"
-    built = client.build_request("GET", url, headers={ATTEMPT_HEADER: attempt})
-    return await _send(client, built, address, attempt)
+    http_request = client.build_request("GET", url, headers={ATTEMPT_HEADER: attempt})
+    return await _send(client, http_request, address, attempt)
 
 
 async def _send(
-    client: httpx.AsyncClient, built: httpx.Request, address: str, attempt: str
+    client: httpx.AsyncClient, http_request: httpx.Request, address: str, attempt: str
 ) -> Answered | NotRun | MaybeRun:
     try:
-        response = await client.send(built, stream=True)
+        response = await client.send(http_request, stream=True)
     except NOT_SENT_ERRORS as error:
         return NotRun(f"not reached: {error!r}", unreached=True)
     except httpx.HTTPError as error:
@@ -199,12 +199,12 @@
 
     :raises httpx.HTTPError: if the connection is cut.
     """
-    rest = b""
+    buffered = b""
     async for chunk in response.aiter_raw():
-        rest += chunk
-        if len(rest) > MAX_EVENT_BYTES:
+        buffered += chunk
+        if len(buffered) > MAX_EVENT_BYTES:
             raise httpx.RemoteProtocolError("an event is too large")
-        *whole, rest = rest.split(EVENT_END)
+        *whole, buffered = buffered.split(EVENT_END)
         if whole:
             yield [_parse_event(raw) for raw in whole]
 
@@ -274,12 +274,12 @@
     """Return one batch that has the effect of all events in order."""
     if not events:
         return None
-    last_word: dict[int, bool] = {}
+    stored_by_block: dict[int, bool] = {}
     for event in events:
-        last_word |= dict.fromkeys(event["stored"], True)
-        last_word |= dict.fromkeys(event["removed"], False)
-    stored = [block for block, is_stored in last_word.items() if is_stored]
-    removed = [block for block, is_stored in last_word.items() if not is_stored]
+        stored_by_block |= dict.fromkeys(event["stored"], True)
+        stored_by_block |= dict.fromkeys(event["removed"], False)
+    stored = [block for block, is_stored in stored_by_block.items() if is_stored]
+    removed = [block for block, is_stored in stored_by_block.items() if not is_stored]
     incarnation = events[-1]["incarnation"]
     return CacheEvents(
         incarnation, events[0]["seq"], events[-1]["seq"], stored, removed
--- a/ashpond/clients/liveness.py
+++ b/ashpond/clients/liveness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["watch_liveness"]
+__all__ = ["enable_dead_peer_detection"]
 
 import socket
 from typing import TYPE_CHECKING
@@ -16,7 +16,7 @@
 KEEPALIVE_SECONDS = 1
 
 
-def watch_liveness(sock: trio.socket.SocketType) -> None:
+def enable_dead_peer_detection(sock: trio.socket.SocketType) -> None:
     """Break a connection that brings no acknowledgement, also while nothing is sent.
 
     A partition, a machine without power and a path that has gone silent for this
--- a/ashpond/clients/peer.py
+++ b/ashpond/clients/peer.py
@@ -10,21 +10,21 @@
 
 __all__ = [
     "AllowanceAnswer",
-    "AllowanceAsk",
-    "AskAttempt",
+    "AllowanceQuery",
+    "AttemptQuery",
     "AttemptAnswer",
     "CacheAnswer",
     "CacheRequest",
     "ConfigAnswer",
     "ConfigRequest",
     "Facts",
-    "News",
+    "PeerUpdate",
     "Notices",
     "PeerMessage",
     "PeerStream",
-    "ServerEndNews",
+    "CrashReport",
     "TableChanges",
-    "ask_peer",
+    "query_peer",
     "connect_peer",
     "parse_message",
     "unpack_value",
@@ -40,7 +40,7 @@
 import trio
 
 from ashpond.addresses import parse_address
-from ashpond.clients.liveness import watch_liveness
+from ashpond.clients.liveness import enable_dead_peer_detection
 from ashpond.errors import FrameError
 from ashpond.outcomes import Unavailable
 
@@ -61,7 +61,7 @@
     facts: list[Any]
 
 
-class AskAttempt(NamedTuple):
+class AttemptQuery(NamedTuple):
     """Ask the owner of an attempt whether it was or will be sent."""
 
     attempt: str
@@ -99,7 +99,7 @@
     views: dict[str, Any]
 
 
-class News(NamedTuple):
+class PeerUpdate(NamedTuple):
     """What an instance tells of the backend servers while it serves routed calls.
 
     ``scope`` says whose work it is, ``group`` names the group of a hub that tells
@@ -117,8 +117,8 @@
     group: str
     loads: dict[str, Any]
     notices: list[Any]
-    holdings: list[Any]
-    sends: dict[str, Any]
+    cache_entries: list[Any]
+    attempts: dict[str, Any]
 
 
 class Notices(NamedTuple):
@@ -129,7 +129,7 @@
     notices: list[Any]
 
 
-class ServerEndNews(NamedTuple):
+class CrashReport(NamedTuple):
     """Which requests were in flight when servers ended.
 
     ``scope`` is as in :class:`News`; ``ends`` are lists of [fingerprint of the request,
@@ -139,7 +139,7 @@
 
     sender: str
     scope: str
-    ends: list[Any]
+    crashes: list[Any]
 
 
 class TableChanges(NamedTuple):
@@ -162,7 +162,7 @@
     is_whole: bool
 
 
-class AllowanceAsk(NamedTuple):
+class AllowanceQuery(NamedTuple):
     """Ask the keeper of some teams for allowances, and hand it time that was earned.
 
     ``slot`` of ``slots`` names the teams. ``earned`` is empty, or [begin, end] on the
@@ -173,11 +173,11 @@
     """
 
     sender: str
-    slots: int
-    slot: int
+    hash_slots: int
+    hash_slot: int
     wants_time: bool
-    earned: list[Any]
-    asks: list[Any]
+    accrued: list[Any]
+    requests: list[Any]
     returned: list[Any]
 
 
@@ -194,32 +194,32 @@
 
 PeerMessage = (
     Facts
-    | AskAttempt
+    | AttemptQuery
     | AttemptAnswer
     | ConfigRequest
     | ConfigAnswer
     | CacheRequest
     | CacheAnswer
-    | News
+    | PeerUpdate
     | Notices
-    | ServerEndNews
+    | CrashReport
     | TableChanges
-    | AllowanceAsk
+    | AllowanceQuery
     | AllowanceAnswer
 )
 KINDS: dict[str, Any] = {
     "facts": Facts,
-    "ask_attempt": AskAttempt,
+    "ask_attempt": AttemptQuery,
     "attempt": AttemptAnswer,
     "ask_config": ConfigRequest,
     "config": ConfigAnswer,
     "ask_cache": CacheRequest,
     "cache": CacheAnswer,
-    "news": News,
+    "news": PeerUpdate,
     "notices": Notices,
-    "ends": ServerEndNews,
+    "ends": CrashReport,
     "table": TableChanges,
-    "allowance_ask": AllowanceAsk,
+    "allowance_ask": AllowanceQuery,
     "allowance": AllowanceAnswer,
 }
 FIELD_TYPES: dict[Any, dict[str, Any]] = {
@@ -251,11 +251,11 @@
         :raises FrameError: if the peer cannot, or speaks another version.
         """
         with trio.move_on_after(HANDSHAKE_SECONDS) as scope:
-            await self._shake_hands(is_server)
+            await self._perform_handshake(is_server)
         if scope.cancelled_caught:
             raise FrameError("the peer did not finish the handshake in time")
 
-    async def _shake_hands(self, is_server: bool) -> None:
+    async def _perform_handshake(self, is_server: bool) -> None:
         nonce = secrets.token_bytes(NONCE_BYTES)
         await self._send_value([PROTOCOL_VERSION, nonce])
         hello = await self._receive_value(HELLO_LIMIT)
@@ -267,13 +267,15 @@
         own, other = SERVER_ROLE, CLIENT_ROLE
         if not is_server:
             own, other = other, own
-        await self._send_value(self._prove(own, *both))
+        await self._send_value(self._make_proof(own, *both))
         proof = await self._receive_value(HELLO_LIMIT)
-        expected = self._prove(other, *both)
+        expected = self._make_proof(other, *both)
         if not isinstance(proof, bytes) or not hmac.compare_digest(proof, expected):
             raise FrameError("the peer does not know the shared secret")
 
-    def _prove(self, role: bytes, server_nonce: bytes, client_nonce: bytes) -> bytes:
+    def _make_proof(
+        self, role: bytes, server_nonce: bytes, client_nonce: bytes
+    ) -> bytes:
         material = role + server_nonce + client_nonce
         return hmac.new(self._secret, material, hashlib.sha256).digest()
 
@@ -370,7 +372,7 @@
     """
     target = parse_address(address)
     raw = await trio.open_tcp_stream(target.host, target.port)
-    watch_liveness(raw.socket)
+    enable_dead_peer_detection(raw.socket)
     stream = PeerStream(raw, secret, max_frame)
     try:
         await stream.authenticate(is_server=False)
@@ -380,7 +382,7 @@
     return stream
 
 
-async def ask_peer(
+async def query_peer(
     address: str, message: PeerMessage, *, secret: str, max_frame: int, timeout: float
 ) -> PeerMessage | Unavailable:
     """Send one question over a connection of its own; return the answer."""
--- a/ashpond/clients/service.py
+++ b/ashpond/clients/service.py
@@ -9,7 +9,7 @@
 import httpx
 import orjson
 
-from ashpond.clients.engine import ATTEMPT_HEADER, NOT_RUN_HEADER, limit_silence
+from ashpond.clients.engine import ATTEMPT_HEADER, NOT_RUN_HEADER, make_idle_timeout
 from ashpond.clients.http import NOT_SENT_ERRORS, read_backoff
 from ashpond.outcomes import Answered, MaybeRun, NotRun
 
@@ -65,14 +65,14 @@
     headers[ATTEMPT_HEADER] = request.attempt
     url = httpx.URL(f"http://{address}{request.path}", query=request.query.encode())
     try:
-        built = client.build_request(
+        http_request = client.build_request(
             request.method,
             url,
             headers=headers,
             content=request.body,
-            timeout=limit_silence(client, request.answer_seconds),
+            timeout=make_idle_timeout(client, request.answer_seconds),
         )
-        response = await client.send(built)
+        response = await client.send(http_request)
     except NOT_SENT_ERRORS as error:
         return NotRun(f"not reached: {error!r}", unreached=True)
     except httpx.HTTPError as error:
--- a/ashpond/controllers/allowancegrants.py
+++ b/ashpond/controllers/allowancegrants.py
@@ -12,7 +12,7 @@
 from ashpond.outcomes import Refusal
 
 if TYPE_CHECKING:
-    from ashpond.clients.keeper import AllowanceVerdict
+    from ashpond.clients.coordinator import AllowanceDecision
     from ashpond.decisions.declared import Team
 
 TOO_MANY_REQUESTS_STATUS = 429
@@ -48,7 +48,7 @@
 
 
 def refuse_exhausted(
-    allowance: Allowance, cost: int, verdict: AllowanceVerdict, coordinator: str
+    allowance: Allowance, cost: int, verdict: AllowanceDecision, coordinator: str
 ) -> Refusal:
     """Return the refusal of a request that exceeds its team's allowance.
 
--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -11,15 +11,15 @@
 
 import trio
 
-from ashpond.clients.keeper import (
+from ashpond.clients.coordinator import (
+    AllowanceDecision,
     AllowanceRequest,
-    AllowanceVerdict,
     ReturnedAllowance,
-    decode_ask,
-    decode_earned,
+    decode_accrued_time,
+    decode_query,
     encode_answer,
 )
-from ashpond.clients.peer import AllowanceAsk, PeerStream, connect_peer
+from ashpond.clients.peer import AllowanceQuery, PeerStream, connect_peer
 from ashpond.controllers.allowancegrants import (
     AllowanceGrant,
     grant_unlimited,
@@ -154,7 +154,7 @@
 
     async def request_permit(
         self, start_id: str, allowance: Allowance, urgency: int, timeout: float
-    ) -> AllowanceVerdict | None:
+    ) -> AllowanceDecision | None:
         """Ask for a permit for a limited server; return None if there is no answer.
 
         :param start_id: the id of the server's present start.
@@ -185,7 +185,7 @@
         cost: int,
         urgency: int,
         timeout: float,
-    ) -> AllowanceVerdict | None:
+    ) -> AllowanceDecision | None:
         request = AllowanceRequest(
             link.next_number(),
             self._get_version(),
@@ -214,22 +214,22 @@
         else:
             link.queue_refund(returned)
 
-    async def serve(self, first: AllowanceAsk, stream: PeerStream) -> None:
+    async def serve(self, first: AllowanceQuery, stream: PeerStream) -> None:
         """Answer a peer that has chosen this instance as a coordinator.
 
         :raises FrameError: if the peer sends an invalid message.
         """
         message: Any = first
         while True:
-            if isinstance(message, AllowanceAsk):
+            if isinstance(message, AllowanceQuery):
                 await self._answer(message, stream)
             message = await stream.receive()
 
-    async def _answer(self, message: AllowanceAsk, stream: PeerStream) -> None:
+    async def _answer(self, message: AllowanceQuery, stream: PeerStream) -> None:
         now = trio.current_time()
-        requests, returned = decode_ask(message)
-        ledger = self._get_ledger(message.slots, message.slot)
-        accrued = decode_earned(message)
+        requests, returned = decode_query(message)
+        ledger = self._get_ledger(message.hash_slots, message.hash_slot)
+        accrued = decode_accrued_time(message)
         name = message.sender.rpartition("#")[0]
         if accrued is not None and self._instance_count.is_counted(name, now):
             ledger.receive(accrued, self._instance_count.compute_share(now), now)
@@ -245,7 +245,7 @@
         hash_slot: int,
         link: CoordinatorLink,
         request: AllowanceRequest,
-    ) -> AllowanceVerdict:
+    ) -> AllowanceDecision:
         """Decide on a request of this instance as its own coordinator."""
         now = trio.current_time()
         ledger = self._get_ledger(hash_slots, hash_slot)
@@ -259,24 +259,24 @@
 
     def _decide(
         self, ledger: Ledger, request: AllowanceRequest, now: float
-    ) -> AllowanceVerdict:
+    ) -> AllowanceDecision:
         allowance = self._find_allowance(request)
         if allowance is None or not allowance.rate:
             # In a request, a rate of 0 means that the team has no limit.
-            return AllowanceVerdict(request.number, True, None, 0.0, 0.0)
+            return AllowanceDecision(request.number, True, None, 0.0, 0.0)
         outcome = ledger.spend(
             request.team,
             allowance,
             self._plan_accrual(allowance),
             request.cost,
             request.urgency,
-            request.patience,
+            request.timeout,
             self._rng.random(),
             now,
         )
         if isinstance(outcome, Granted):
-            return AllowanceVerdict(request.number, True, None, 0.0, 0.0)
-        return AllowanceVerdict(
+            return AllowanceDecision(request.number, True, None, 0.0, 0.0)
+        return AllowanceDecision(
             request.number, False, outcome.retry_after, outcome.remaining, outcome.share
         )
 
--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -17,7 +17,7 @@
 from logbook import Logger
 
 from ashpond.bounds import Amount
-from ashpond.clients.channels import Reach, check_address
+from ashpond.clients.channels import ConnectResult, check_address
 from ashpond.controllers.crashdetection import CrashDetector, LostRequest, WatchedServer
 from ashpond.decisions.fingerprints import make_fingerprint
 from ashpond.decisions.quarantine import (
@@ -186,7 +186,7 @@
             )
 
 
-async def _check(server: WatchedServer) -> Reach:
+async def _check(server: WatchedServer) -> ConnectResult:
     return await check_address(server.address)
 
 
--- a/ashpond/controllers/claims.py
+++ b/ashpond/controllers/claims.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ashpond.clients.peer import AskAttempt, AttemptAnswer, ask_peer
+from ashpond.clients.peer import AttemptAnswer, AttemptQuery, query_peer
 from ashpond.clients.platform import Put, Row
 from ashpond.decisions.claims import (
     AskOwner,
@@ -143,9 +143,9 @@
         owner, _, _ = split_attempt_id(attempt)
         if owner == self.registry.owner:
             return self.registry.get_state_or_revoke(attempt)
-        answer = await ask_peer(
+        answer = await query_peer(
             owner,
-            AskAttempt(attempt),
+            AttemptQuery(attempt),
             secret=self._settings.peer_secret,
             max_frame=self._settings.limits.max_frame_bytes,
             timeout=self._settings.timing.connect_timeout,
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -9,12 +9,12 @@
 
 import trio
 
-from ashpond.clients.keeper import (
+from ashpond.clients.coordinator import (
+    AllowanceDecision,
     AllowanceRequest,
-    AllowanceVerdict,
     ReturnedAllowance,
     decode_answer,
-    encode_ask,
+    encode_query,
 )
 from ashpond.clients.peer import AllowanceAnswer, PeerStream
 from ashpond.decisions.allowances import AccruedTime, TimeSpan, rank_coordinators
@@ -44,7 +44,7 @@
 
 Connect = Callable[[Member], Awaitable[PeerStream]]
 DecideLocally = Callable[
-    [int, int, "CoordinatorLink", AllowanceRequest], AllowanceVerdict
+    [int, int, "CoordinatorLink", AllowanceRequest], AllowanceDecision
 ]
 
 
@@ -52,7 +52,7 @@
     def __init__(self, request: AllowanceRequest):
         self.request = request
         self.is_sent = False
-        self.verdict: AllowanceVerdict | None = None
+        self.verdict: AllowanceDecision | None = None
         self.decided = trio.Event()
 
 
@@ -131,14 +131,14 @@
         self._number += 1
         return self._number
 
-    async def ask(self, request: AllowanceRequest) -> AllowanceVerdict | None:
+    async def ask(self, request: AllowanceRequest) -> AllowanceDecision | None:
         """Return the coordinator's verdict, None if there was none in time."""
         if self.is_own_coordinator:
             return self._decide_locally(self._hash_slots, self.hash_slot, self, request)
         waiter = self._waiters[request.number] = _Waiter(request)
         self._wake.set()
         try:
-            with trio.move_on_after(min(ANSWER_SECONDS, request.patience)):
+            with trio.move_on_after(min(ANSWER_SECONDS, request.timeout)):
                 await waiter.decided.wait()
         finally:
             del self._waiters[request.number]
@@ -197,7 +197,7 @@
         try:
             with trio.fail_after(CONNECT_SECONDS):
                 stream = await self._connect_to(member)
-                request = encode_ask(
+                request = encode_query(
                     self._incarnation,
                     self._hash_slots,
                     self.hash_slot,
@@ -318,7 +318,7 @@
         requests: Sequence[AllowanceRequest] = (),
         returned: Sequence[ReturnedAllowance] = (),
     ) -> None:
-        message = encode_ask(
+        message = encode_query(
             self._incarnation,
             self._hash_slots,
             self.hash_slot,
--- a/ashpond/controllers/crashdetection.py
+++ b/ashpond/controllers/crashdetection.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from ashpond.clients.channels import Reach
+from ashpond.clients.channels import ConnectResult
 
 # The row of a crashed server disappears after three missed heartbeats, 2.4 to 3.6 s
 # after the crash. An attempt that failed longer ago than this is not attributed to the
@@ -100,7 +100,7 @@
 
     def __init__(
         self,
-        check: Callable[[WatchedServer], Awaitable[Reach]],
+        check: Callable[[WatchedServer], Awaitable[ConnectResult]],
         log_event: Callable[..., None],
         on_lost: Callable[[LostRequest], None],
         on_refused: Callable[[WatchedServer], None] = lambda server: None,
@@ -253,8 +253,8 @@
     async def _check(self, attempts: _FailedAttempts) -> None:
         server = attempts.server
         reach = await self._check_server(server)
-        if reach is Reach.REFUSED:
+        if reach is ConnectResult.REFUSED:
             self.note_crash(server, CrashEvidence.REFUSED)
             self._on_refused(server)
-        elif reach is Reach.CONNECTED:
+        elif reach is ConnectResult.CONNECTED:
             attempts.reachable_at = trio.current_time()
--- a/ashpond/controllers/peers.py
+++ b/ashpond/controllers/peers.py
@@ -11,8 +11,8 @@
 
 from ashpond.addresses import parse_address
 from ashpond.clients.peer import (
-    AskAttempt,
     AttemptAnswer,
+    AttemptQuery,
     CacheAnswer,
     CacheRequest,
     ConfigRequest,
@@ -100,7 +100,7 @@
         if isinstance(message, Facts):
             self._members.take_facts(message)
             return self._members.collect_facts(message.sender)
-        if isinstance(message, AskAttempt):
+        if isinstance(message, AttemptQuery):
             return AttemptAnswer(str(self._claims.answer(message.attempt)))
         if isinstance(message, ConfigRequest):
             return self._configuration.answer_peer()
--- a/ashpond/controllers/permits.py
+++ b/ashpond/controllers/permits.py
@@ -13,7 +13,7 @@
 from ashpond.decisions.ratelimits import make_allowance, plan_pause
 
 if TYPE_CHECKING:
-    from ashpond.clients.keeper import AllowanceVerdict
+    from ashpond.clients.coordinator import AllowanceDecision
     from ashpond.controllers.directory import ServerState
     from ashpond.decisions.allowances import Allowance
 
@@ -37,7 +37,7 @@
 
     async def request_permit(
         self, start_id: str, allowance: Allowance, urgency: int, timeout: float
-    ) -> AllowanceVerdict | None:
+    ) -> AllowanceDecision | None:
         """Return the verdict, None if there is no answer in time."""
 
 
--- a/ashpond/controllers/serverupdates.py
+++ b/ashpond/controllers/serverupdates.py
@@ -65,7 +65,7 @@
         """
         server_id = state.info.id
         self._cache_index.remove_server(server_id)
-        self._pool.forget(previous.owner)
+        self._pool.close_idle(previous.owner)
         self._crash_detector.note_crash(previous.watched, CrashEvidence.NEW_START)
         self._get_rollouts().reset_server(server_id)
         self._log.note(
@@ -125,7 +125,7 @@
     def on_entry_gone(self, state: ServerState) -> None:
         """Record a crash of a server whose row is gone; close its connections."""
         self._crash_detector.note_crash(state.watched, CrashEvidence.ENTRY_GONE)
-        self._pool.forget(state.owner)
+        self._pool.close_idle(state.owner)
 
     def on_connection_refused(self, server: WatchedServer) -> None:
         """Exclude a server that refuses connections, and notify the peers."""
@@ -133,7 +133,7 @@
         if state is None or state.owner != server.owner:
             return
         exclusion_seconds = state.note_connect_failure(trio.current_time())
-        self._pool.forget(state.owner)
+        self._pool.close_idle(state.owner)
         self.announce_unreachable(state, exclusion_seconds)
 
     def announce_unreachable(self, state: ServerState, seconds: float) -> None:
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ashpond.clients.channels import Reach
+from ashpond.clients.channels import ConnectResult
 from ashpond.controllers.allowancegrants import grant_unlimited
 from ashpond.controllers.cachestores import CacheStores
 from ashpond.controllers.crashdetection import CrashDetector, WatchedServer
@@ -159,8 +159,8 @@
     return f"d{number % FAILURE_DOMAINS}"
 
 
-async def _check_nothing(server: WatchedServer) -> Reach:
-    return Reach.UNKNOWN
+async def _check_nothing(server: WatchedServer) -> ConnectResult:
+    return ConnectResult.UNKNOWN
 
 
 def _build_quarantine(environment: InstanceEnvironment, log: DecisionLog) -> Quarantine:
--- a/ashpond/emulator/permits.py
+++ b/ashpond/emulator/permits.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ashpond.clients.keeper import AllowanceVerdict
+from ashpond.clients.coordinator import AllowanceDecision
 from ashpond.decisions.allowances import (
     Allowance,
     Granted,
@@ -47,7 +47,7 @@
 
     async def request_permit(
         self, start: str, allowance: Allowance, urgency: int, patience: float
-    ) -> AllowanceVerdict:
+    ) -> AllowanceDecision:
         """Return whether a request may be sent to a server that names a limit."""
         await trio.sleep(2 * self._delay)
         now = trio.current_time()
@@ -57,7 +57,7 @@
             start, allowance, accrual, 1, urgency, patience, draw, now
         )
         if isinstance(outcome, Granted):
-            return AllowanceVerdict(0, True, None, 0.0, 0.0)
-        return AllowanceVerdict(
+            return AllowanceDecision(0, True, None, 0.0, 0.0)
+        return AllowanceDecision(
             0, False, outcome.retry_after, outcome.remaining, outcome.share
         )
--- a/ashpond/emulator/wire.py
+++ b/ashpond/emulator/wire.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from ashpond.clients.channels import ChannelError, Outgoing
+from ashpond.clients.channels import ChannelError, OutgoingRequest
 from ashpond.controllers.directory import BackendServer
 from ashpond.emulator.engines import EmulatedEngine, Run
 from ashpond.gateway.calls import AnswerHeaders, Codec, Envelope, Headers, Instructions
@@ -126,7 +126,7 @@
     engine: EmulatedEngine
     pool: EmulatedPool
 
-    async def exchange(self, request: Outgoing) -> EmulatedResponse:
+    async def exchange(self, request: OutgoingRequest) -> EmulatedResponse:
         """Send a request; return its answer with the first event.
 
         :raises ChannelError: if the engine crashes meanwhile.
@@ -198,7 +198,7 @@
     def release(self, owner: str, channel: EmulatedChannel) -> None:
         """Take a connection back."""
 
-    def forget(self, owner: str) -> None:
+    def close_idle(self, owner: str) -> None:
         """Drop the connections to an engine."""
 
 
--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -10,13 +10,13 @@
 import trio
 
 from ashpond.addresses import parse_address
-from ashpond.clients.liveness import watch_liveness
+from ashpond.clients.liveness import enable_dead_peer_detection
 from ashpond.clients.peer import (
-    AllowanceAsk,
-    News,
+    AllowanceQuery,
+    CrashReport,
     Notices,
     PeerStream,
-    ServerEndNews,
+    PeerUpdate,
 )
 from ashpond.controllers.directory import ServerTable
 from ashpond.controllers.feeds import TableUpdate
@@ -284,12 +284,12 @@
 
     async def _serve_connection(self, raw: trio.SocketStream) -> None:
         """Serve a peer that has connected, until the connection ends."""
-        watch_liveness(raw.socket)
+        enable_dead_peer_detection(raw.socket)
         stream = PeerStream(raw, self.members.secret, MAX_FRAME_BYTES)
         try:
             await stream.authenticate(is_server=True)
             first = await receive_first(stream)
-            if isinstance(first, AllowanceAsk):
+            if isinstance(first, AllowanceQuery):
                 serve = self._handlers.serve_allowances
                 reason = await run_until_end(lambda: serve(first, stream))
             else:
@@ -326,11 +326,11 @@
 
     def _apply(self, message: UpdateMessage) -> None:
         try:
-            if isinstance(message, News):
+            if isinstance(message, PeerUpdate):
                 self._apply_digest(message.sender, decode_update(message))
             elif isinstance(message, Notices):
                 self._apply_notices(message.sender, *decode_notices(message))
-            elif isinstance(message, ServerEndNews):
+            elif isinstance(message, CrashReport):
                 self._apply_crashes(message.sender, *decode_crashes(message))
             else:
                 self._apply_changes(message.sender, *decode_changes(message))
--- a/ashpond/fleet/links.py
+++ b/ashpond/fleet/links.py
@@ -25,11 +25,11 @@
 import trio
 
 from ashpond.clients.peer import (
-    AllowanceAsk,
-    News,
+    AllowanceQuery,
+    CrashReport,
     Notices,
     PeerStream,
-    ServerEndNews,
+    PeerUpdate,
     TableChanges,
 )
 from ashpond.controllers.feeds import TableUpdate
@@ -59,7 +59,7 @@
 # Queue of crashes; a peer that reconnects is sent all known crashes (entries).
 MAX_PENDING_CRASHES = 500
 # The messages of updates.
-UpdateMessage = News | Notices | ServerEndNews | TableChanges
+UpdateMessage = PeerUpdate | Notices | CrashReport | TableChanges
 # Exceptions that end a connection between instances.
 PEER_ERRORS = (
     OSError,
@@ -253,9 +253,9 @@
             return message
 
 
-async def receive_first(stream: PeerStream) -> UpdateMessage | AllowanceAsk:
+async def receive_first(stream: PeerStream) -> UpdateMessage | AllowanceQuery:
     """Return the first update or ask for allowances of a peer that has connected."""
     while True:
         message = await stream.receive()
-        if isinstance(message, UpdateMessage | AllowanceAsk):
+        if isinstance(message, UpdateMessage | AllowanceQuery):
             return message
--- a/ashpond/fleet/updates.py
+++ b/ashpond/fleet/updates.py
@@ -26,11 +26,11 @@
 from ashpond.bounds import Amount, Count
 from ashpond.clients.fields import convert_list, convert_table
 from ashpond.clients.peer import (
-    AllowanceAsk,
-    News,
+    AllowanceQuery,
+    CrashReport,
     Notices,
     PeerStream,
-    ServerEndNews,
+    PeerUpdate,
     TableChanges,
 )
 from ashpond.controllers.feeds import TableUpdate
@@ -114,7 +114,7 @@
     on_table: Callable[[TableUpdate], bool]
     on_crashes: Callable[[list[ServerCrash], str], list[ServerCrash]]
     list_crashes: Callable[[], list[ServerCrash]]
-    serve_allowances: Callable[[AllowanceAsk, PeerStream], Awaitable[None]]
+    serve_allowances: Callable[[AllowanceQuery, PeerStream], Awaitable[None]]
 
 
 class _Change(NamedTuple):
@@ -125,12 +125,12 @@
     version: Count
 
 
-def encode_update(sender: str, digest: Digest) -> News:
+def encode_update(sender: str, digest: Digest) -> PeerUpdate:
     """Return the message for a digest.
 
     :param sender: the incarnation of the sending instance.
     """
-    return News(
+    return PeerUpdate(
         sender,
         digest.scope,
         digest.group,
@@ -141,7 +141,7 @@
     )
 
 
-def decode_update(update: News) -> Digest:
+def decode_update(update: PeerUpdate) -> Digest:
     """Return the digest in a message.
 
     :raises FrameError: if a value in it is not valid.
@@ -152,10 +152,10 @@
             update.group,
             InstanceLoad(
                 convert_table(update.loads, Load),
-                convert_table(update.sends, AttemptCounts),
+                convert_table(update.attempts, AttemptCounts),
             ),
             convert_list(update.notices, ServerNotice),
-            convert_list(update.holdings, CacheEntry),
+            convert_list(update.cache_entries, CacheEntry),
         )
     except ValueError as error:
         raise FrameError(f"invalid update: {error!r}") from error
@@ -180,18 +180,18 @@
 
 def encode_crashes(
     sender: str, scope: Scope, crashes: list[ServerCrash]
-) -> ServerEndNews:
+) -> CrashReport:
     """Return a message with crashes of backend servers."""
-    return ServerEndNews(sender, scope, [list(crash) for crash in crashes])
+    return CrashReport(sender, scope, [list(crash) for crash in crashes])
 
 
-def decode_crashes(message: ServerEndNews) -> tuple[Scope, list[ServerCrash]]:
+def decode_crashes(message: CrashReport) -> tuple[Scope, list[ServerCrash]]:
     """Return the scope of a message and its crashes.
 
     :raises FrameError: if a value in it is not valid.
     """
     try:
-        crashes = convert_list(message.ends, ServerCrash)
+        crashes = convert_list(message.crashes, ServerCrash)
         return Scope(message.scope), crashes
     except ValueError as error:
         raise FrameError(f"invalid crashes: {error!r}") from error
--- a/ashpond/gateway/attempts.py
+++ b/ashpond/gateway/attempts.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ashpond.clients.channels import Channel, ChannelError, Outgoing, Response
+from ashpond.clients.channels import Channel, ChannelError, OutgoingRequest, Response
 from ashpond.controllers.crashdetection import CrashEvidence
 from ashpond.controllers.directory import (
     FULL_PAUSE_SECONDS,
@@ -177,7 +177,7 @@
         if not is_sent:
             pause = state.note_connect_failure(trio.current_time())
             self.context.announce_unreachable(state, pause)
-            self.context.pool.forget(state.owner)
+            self.context.pool.close_idle(state.owner)
             return AttemptNotRun(reason)
         state.note_answer(trio.current_time(), failed=True)
         self._report_incomplete(state, is_timeout=reason == NO_ANSWER)
@@ -193,7 +193,7 @@
             is_idle_timeout=is_timeout,
         )
 
-    def _build_request(self) -> Outgoing:
+    def _build_request(self) -> OutgoingRequest:
         call = self.call.request
         reservation = self._reservation
         accepted = self.call.accepted
@@ -211,7 +211,7 @@
         headers = self.context.codec.write_headers(call.envelope, instructions)
         if call.body or call.method in ("POST", "PUT", "PATCH"):
             headers.append((b"Content-Length", str(len(call.body)).encode()))
-        return Outgoing(
+        return OutgoingRequest(
             call.method,
             call.target,
             headers,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from ashpond.clients.peer import AllowanceAsk, PeerStream
+from ashpond.clients.peer import AllowanceQuery, PeerStream
 from ashpond.controllers.allowancegrants import AllowanceGrant
 from ashpond.controllers.allowances import Allowances
 from ashpond.decisions.allowances import Allowance, AllowanceBounds, AllowanceUnit
@@ -228,7 +228,7 @@
 
         async def answer() -> None:
             first = await stream.receive()
-            assert isinstance(first, AllowanceAsk)
+            assert isinstance(first, AllowanceQuery)
             await server.allowances.serve(first, stream)
 
         async def fail_with_server() -> None:
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ashpond.clients.peer import AllowanceAsk, News, PeerStream
+from ashpond.clients.peer import AllowanceQuery, PeerStream, PeerUpdate
 from ashpond.controllers.feeds import Feed, Follower, TableUpdate
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.cacheindex import CacheEntry
@@ -28,7 +28,7 @@
 WINDOW_SECONDS = 10.0
 
 
-def make_update(**changes: object) -> News:
+def make_update(**changes: object) -> PeerUpdate:
     """Return an update message with one value of each kind, or with other fields."""
     values: dict = {
         "sender": "i1#1",
@@ -36,10 +36,10 @@
         "group": "",
         "loads": {"a": [1, 100, 200, 0]},
         "notices": [["a", "m1", 2, 0.5, False, None, None, False]],
-        "holdings": [["a", "salt", "part", None]],
-        "sends": {"reader": [1, 0]},
+        "cache_entries": [["a", "salt", "part", None]],
+        "attempts": {"reader": [1, 0]},
     }
-    return News(**(values | changes))
+    return PeerUpdate(**(values | changes))
 
 
 class Instance:
@@ -92,7 +92,7 @@
         self.tables.append(update)
         return True
 
-    async def serve_allowances(self, first: AllowanceAsk, stream: PeerStream) -> None:
+    async def serve_allowances(self, first: AllowanceQuery, stream: PeerStream) -> None:
         raise AssertionError("no instance asks for allowances in these tests")
 
     def on_crashes(self, crashes: list[ServerCrash], sender: str) -> list[ServerCrash]:
--- a/tests/quarantine_fleet.py
+++ b/tests/quarantine_fleet.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ashpond.clients.channels import ChannelError, Outgoing, Reach
+from ashpond.clients.channels import ChannelError, ConnectResult, OutgoingRequest
 from ashpond.controllers.allowancegrants import grant_unlimited
 from ashpond.controllers.crashdetection import CrashDetector, CrashEvidence
 from ashpond.controllers.permits import grant_without_limit
@@ -82,15 +82,15 @@
             raise ChannelError("refused", is_sent=False, is_refused=True)
         return FleetChannel(self._fleet, server)
 
-    async def check(self, owner: str, address: str) -> Reach:
+    async def check(self, owner: str, address: str) -> ConnectResult:
         await trio.sleep(0.001)
         is_there = owner.partition(" ")[0] in self._fleet.servers
-        return Reach.CONNECTED if is_there else Reach.REFUSED
+        return ConnectResult.CONNECTED if is_there else ConnectResult.REFUSED
 
     def release(self, owner: str, channel: FleetChannel) -> None:
         pass
 
-    def forget(self, owner: str) -> None:
+    def close_idle(self, owner: str) -> None:
         pass
 
 
@@ -99,7 +99,7 @@
         self._fleet = fleet
         self._server = server
 
-    async def exchange(self, request: Outgoing) -> ScriptedResponse:
+    async def exchange(self, request: OutgoingRequest) -> ScriptedResponse:
         self._fleet.arrivals.append(Arrival(trio.current_time(), request.body))
         if request.body == DEADLY_BODY:
             with trio.move_on_after(RUNNING_SECONDS):
--- a/tests/row_builders.py
+++ b/tests/row_builders.py
@@ -86,7 +86,7 @@
             lambda: None,
             lambda: None,
             lambda: None,
-            lambda state: pool.forget(state.owner),
+            lambda state: pool.close_idle(state.owner),
         )
         self.members = Members(
             Member("i", "127.0.0.1:1", "d"),
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from ashpond.clients.channels import ChannelError, Outgoing, Reach
+from ashpond.clients.channels import ChannelError, ConnectResult, OutgoingRequest
 from ashpond.controllers.allowancegrants import grant_unlimited
 from ashpond.controllers.crashdetection import CrashDetector, WatchedServer
 from ashpond.controllers.directory import ServerTable
@@ -79,7 +79,7 @@
 
     def __init__(self, script: list[Answer | ChannelError]):
         self.script = list(script)
-        self.requests: list[tuple[str, Outgoing]] = []
+        self.requests: list[tuple[str, OutgoingRequest]] = []
         self.closed = 0
 
     async def acquire(self, owner: str, address: str) -> ScriptedChannel:
@@ -92,7 +92,7 @@
     def release(self, owner: str, channel: ScriptedChannel) -> None:
         pass
 
-    def forget(self, owner: str) -> None:
+    def close_idle(self, owner: str) -> None:
         pass
 
 
@@ -101,7 +101,7 @@
         self._pool = pool
         self._owner = owner
 
-    async def exchange(self, request: Outgoing) -> ScriptedResponse:
+    async def exchange(self, request: OutgoingRequest) -> ScriptedResponse:
         self._pool.requests.append((self._owner, request))
         answer = self._pool.script.pop(0)
         if isinstance(answer, ChannelError):
@@ -113,8 +113,8 @@
         self._pool.closed += 1
 
 
-async def check_nothing(server: WatchedServer) -> Reach:
-    return Reach.UNKNOWN
+async def check_nothing(server: WatchedServer) -> ConnectResult:
+    return ConnectResult.UNKNOWN
 
 
 class RecordedReply:
--- a/tests/test_allowance_fleet.py
+++ b/tests/test_allowance_fleet.py
@@ -11,8 +11,12 @@
 import pytest
 import trio
 
-from ashpond.clients.keeper import AllowanceRequest, ReturnedAllowance, encode_ask
-from ashpond.clients.peer import AllowanceAsk, PeerStream
+from ashpond.clients.coordinator import (
+    AllowanceRequest,
+    ReturnedAllowance,
+    encode_query,
+)
+from ashpond.clients.peer import AllowanceQuery, PeerStream
 from ashpond.controllers import coordinatorlink
 from ashpond.decisions.allowances import AllowanceUnit
 from ashpond.decisions.fleetlinks import Member
@@ -209,11 +213,11 @@
     """A late refund would be used again in a window that has no room left for it."""
     returned: list[ReturnedAllowance] = []
 
-    def record(*args: Any, **options: Any) -> AllowanceAsk:
+    def record(*args: Any, **options: Any) -> AllowanceQuery:
         returned.extend(args[5] if len(args) > 5 else ())
-        return encode_ask(*args, **options)
+        return encode_query(*args, **options)
 
-    monkeypatch.setattr(coordinatorlink, "encode_ask", record)
+    monkeypatch.setattr(coordinatorlink, "encode_query", record)
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, 8)
         await trio.sleep(SETTLED_SECONDS)
--- a/tests/test_callquarantine.py
+++ b/tests/test_callquarantine.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from ashpond.call import Call, Reply
-from ashpond.clients.channels import Reach
+from ashpond.clients.channels import ConnectResult
 from ashpond.controllers import callquarantine
 from ashpond.controllers.callquarantine import CRASHES_KEY, CallQuarantine
 from ashpond.controllers.crashdetection import CrashEvidence, WatchedServer
@@ -173,8 +173,8 @@
 async def test_server_that_refuses_connections_has_crashed(
     autojump_clock: object, monkeypatch: Any, nursery: trio.Nursery
 ) -> None:
-    async def refuse(address: str) -> Reach:
-        return Reach.REFUSED
+    async def refuse(address: str) -> ConnectResult:
+        return ConnectResult.REFUSED
 
     monkeypatch.setattr(callquarantine, "check_address", refuse)
     bench = QuarantineBench()
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -11,16 +11,18 @@
 import trio.testing
 
 from ashpond.clients import channels
-from ashpond.clients.channels import Channel, ChannelError, ChannelPool, Outgoing
+from ashpond.clients.channels import Channel, ChannelError, ChannelPool, OutgoingRequest
 from tests.servers import make_answer, read_request, run_server
 
 
-def make_request(body: bytes = b"", request_id: str = "id-1") -> Outgoing:
+def make_request(body: bytes = b"", request_id: str = "id-1") -> OutgoingRequest:
     headers = [(b"Host", b"x"), (b"Content-Length", str(len(body)).encode())]
-    return Outgoing("POST", b"/a/b?q=%2F", headers, body, request_id, b"x-request-id")
+    return OutgoingRequest(
+        "POST", b"/a/b?q=%2F", headers, body, request_id, b"x-request-id"
+    )
 
 
-async def ask(pool: ChannelPool, address: str, request: Outgoing) -> bytes:
+async def ask(pool: ChannelPool, address: str, request: OutgoingRequest) -> bytes:
     channel = await pool.acquire("s1", address)
     response = await channel.exchange(request)
     body = await response.read_all(1 << 20)
@@ -277,7 +279,7 @@
     mock_clock.jump(5.0)
     assert await response.read() == b"eam"
     assert not await response.read()
-    assert channel.make_idle()
+    assert channel.prepare_reuse()
     assert not channel.is_usable(trio.current_time())
     wire.close()
 
@@ -297,7 +299,7 @@
         await trio.testing.wait_all_tasks_blocked()
         mock_clock.jump(5.0)
         wire.arrive(make_answer(extra="Keep-Alive: timeout=1\r\n"))
-    assert channel.make_idle()
+    assert channel.prepare_reuse()
     mock_clock.jump(0.6)
     assert channel.is_usable(trio.current_time())
     mock_clock.jump(0.2)
@@ -314,7 +316,7 @@
         socket = _Socket()
 
     channel = Channel(_Stream())  # type: ignore[arg-type]
-    channel._note_idle_limit([(b"keep-alive", f"timeout={idle_seconds:.0f}".encode())])
+    channel._read_idle_limit([(b"keep-alive", f"timeout={idle_seconds:.0f}".encode())])
     return channel
 
 
--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from ashpond.clients.channels import ChannelPool, Reach
+from ashpond.clients.channels import ChannelPool, ConnectResult
 from ashpond.controllers.crashdetection import (
     ATTRIBUTION_SECONDS,
     CHECK_INTERVAL_SECONDS,
@@ -30,11 +30,11 @@
 class CountingPool:
     """A pool that answers each check with ``reach``, and counts the checks."""
 
-    def __init__(self, reach: Reach):
+    def __init__(self, reach: ConnectResult):
         self.reach = reach
         self.checks = 0
 
-    async def check(self, server: WatchedServer) -> Reach:
+    async def check(self, server: WatchedServer) -> ConnectResult:
         self.checks += 1
         await trio.sleep(0.001)
         return self.reach
@@ -43,7 +43,7 @@
 class DetectorBench:
     """A crash detector with a scripted pool, and what it reports."""
 
-    def __init__(self, reach: Reach = Reach.UNKNOWN):
+    def __init__(self, reach: ConnectResult = ConnectResult.UNKNOWN):
         self.pool = CountingPool(reach)
         self.lost: list[LostRequest] = []
         self.refused: list[WatchedServer] = []
@@ -66,7 +66,7 @@
 async def test_server_that_refuses_connections_has_crashed(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    bench = DetectorBench(Reach.REFUSED)
+    bench = DetectorBench(ConnectResult.REFUSED)
     nursery.start_soon(bench.detector.run)
     state = make_state()
     bench.detector.note_failed_attempt(state, "f1", trio.current_time())
@@ -80,7 +80,7 @@
 async def test_reachable_server_has_not_crashed(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    bench = DetectorBench(Reach.CONNECTED)
+    bench = DetectorBench(ConnectResult.CONNECTED)
     nursery.start_soon(bench.detector.run)
     state = make_state()
     bench.detector.note_failed_attempt(state, "f1", trio.current_time())
@@ -93,7 +93,7 @@
 async def test_new_start_counts_as_a_crash_if_the_server_is_reachable_again(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    bench = DetectorBench(Reach.CONNECTED)
+    bench = DetectorBench(ConnectResult.CONNECTED)
     nursery.start_soon(bench.detector.run)
     state = make_state()
     bench.detector.note_failed_attempt(state, "f1", trio.current_time())
@@ -166,7 +166,7 @@
 async def test_server_is_not_checked_after_an_idle_timeout(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
-    bench = DetectorBench(Reach.REFUSED)
+    bench = DetectorBench(ConnectResult.REFUSED)
     nursery.start_soon(bench.detector.run)
     state = make_state()
     bench.detector.note_failed_attempt(
@@ -198,9 +198,9 @@
 
     pool = ChannelPool()
     free = f"127.0.0.1:{find_free_port()}"
-    assert await pool.check("gone", free) is Reach.REFUSED
+    assert await pool.check("gone", free) is ConnectResult.REFUSED
     async with run_server(serve) as address:
-        assert await pool.check("a", address) is Reach.CONNECTED
+        assert await pool.check("a", address) is ConnectResult.CONNECTED
         assert pool.count_idle("a") == 1
         await pool.acquire("a", address)
         assert pool.opened == 1
@@ -240,7 +240,7 @@
     engines = [make_state(f"e{number}") for number in range(5)]
     plain = [make_state(f"p{number}", service="plain") for number in range(4)]
     detector = CrashDetector(
-        CountingPool(Reach.UNKNOWN).check,
+        CountingPool(ConnectResult.UNKNOWN).check,
         DecisionLog("i").note,
         lambda lost: None,
         list_servers=lambda: engines + plain,
@@ -260,7 +260,7 @@
     engines = [make_state(f"e{number}") for number in range(5)]
     there = list(engines)
     detector = CrashDetector(
-        CountingPool(Reach.UNKNOWN).check,
+        CountingPool(ConnectResult.UNKNOWN).check,
         DecisionLog("i").note,
         lambda lost: None,
         list_servers=lambda: there,
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -15,13 +15,13 @@
 from hypothesis import given, strategies as st
 
 from ashpond.bounds import MAX_NUMBER
-from ashpond.clients.keeper import decode_answer, decode_ask, decode_earned
+from ashpond.clients.coordinator import decode_accrued_time, decode_answer, decode_query
 from ashpond.clients.peer import (
     AllowanceAnswer,
-    AllowanceAsk,
-    News,
+    AllowanceQuery,
     Notices,
     PeerMessage,
+    PeerUpdate,
     TableChanges,
     parse_message,
     unpack_value,
@@ -75,7 +75,7 @@
 def decode_message(value: Any) -> None:
     """Decode a message as the exchange does; check that its values are valid."""
     message: PeerMessage = parse_message(value)
-    if isinstance(message, News):
+    if isinstance(message, PeerUpdate):
         digest = decode_update(message)
         for load in digest.load.loads.values():
             assert all(abs(number) <= MAX_NUMBER for number in load)
@@ -152,7 +152,7 @@
     take_message([kind, fields])
 
 
-@given(st.sampled_from(["loads", "notices", "holdings", "sends"]), values)
+@given(st.sampled_from(["loads", "notices", "cache_entries", "attempts"]), values)
 def test_updates_with_one_odd_field_raise_one_error_only(
     field: str, value: Any
 ) -> None:
@@ -180,9 +180,9 @@
         {"loads": {"a": [2**63, 0, 0, 0]}},
         {"loads": {"a": [1, 2]}},
         {"loads": {"a": [1.5, 0, 0, 0]}},
-        {"sends": {"s": [-(2**63), 0]}},
-        {"holdings": [["a", "salt"]]},
-        {"holdings": [["a", "salt", "part", "soon"]]},
+        {"attempts": {"s": [-(2**63), 0]}},
+        {"cache_entries": [["a", "salt"]]},
+        {"cache_entries": [["a", "salt", "part", "soon"]]},
         {"scope": "everyone"},
     ],
 )
@@ -231,11 +231,11 @@
 def decode_allowance(value: Any) -> None:
     """Take an ask or an answer; check that times and amounts can be added up."""
     message = parse_message(value)
-    if isinstance(message, AllowanceAsk):
-        requests, returned = decode_ask(message)
-        earned = decode_earned(message)
+    if isinstance(message, AllowanceQuery):
+        requests, returned = decode_query(message)
+        earned = decode_accrued_time(message)
         numbers = [number for span in (earned,) if span for number in span]
-        numbers += [n for r in requests for n in (r.rate, r.burst, r.cost, r.patience)]
+        numbers += [n for r in requests for n in (r.rate, r.burst, r.cost, r.timeout)]
         numbers += [entry.cost for entry in returned]
     elif isinstance(message, AllowanceAnswer):
         verdicts = decode_answer(message)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -9,8 +9,8 @@
 import trio
 
 from ashpond.clients import peer
-from ashpond.clients.liveness import UNACKNOWLEDGED_MS, watch_liveness
-from ashpond.clients.peer import News, TableChanges
+from ashpond.clients.liveness import UNACKNOWLEDGED_MS, enable_dead_peer_detection
+from ashpond.clients.peer import PeerUpdate, TableChanges
 from ashpond.decisions.budget import AttemptCounts
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.loads import Load
@@ -114,9 +114,9 @@
 
 def test_invalid_updates_are_ignored(instances: list[Instance]) -> None:
     instance = instances[0]
-    instance.peers._apply(News("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
-    instance.peers._apply(News("i1#1", "own", "", {}, [["too", "few"]], [], {}))
-    instance.peers._apply(News("i1#1", "nobody's", "", {}, [], [], {}))
+    instance.peers._apply(PeerUpdate("i1#1", "own", "", {"a": ["x"]}, [], [], {}))
+    instance.peers._apply(PeerUpdate("i1#1", "own", "", {}, [["too", "few"]], [], {}))
+    instance.peers._apply(PeerUpdate("i1#1", "nobody's", "", {}, [], [], {}))
     events = [line["event"] for line in instance.log._lines]
     assert events == ["peer_news_invalid"] * 3
     assert instance.notices == []
@@ -140,12 +140,12 @@
     for end, module in (("connects", peer), ("accepts", exchange_module)):
 
         def note(sock: trio.socket.SocketType, end: str = end) -> None:
-            watch_liveness(sock)
+            enable_dead_peer_detection(sock)
             limit = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
             assert limit == UNACKNOWLEDGED_MS
             ends.append(end)
 
-        monkeypatch.setattr(module, "watch_liveness", note)
+        monkeypatch.setattr(module, "enable_dead_peer_detection", note)
     async with trio.open_nursery() as nursery:
         for instance in instances[:2]:
             nursery.start_soon(instance.run)
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from ashpond.clients.peer import News, Notices
+from ashpond.clients.peer import Notices, PeerUpdate
 from ashpond.controllers.feeds import TableUpdate
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.fleetlinks import READER_GROUPS, Member
@@ -260,7 +260,7 @@
             instance.peers.announce(ServerNotice("a", "m1", number + 1, 0.5))
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    digests = [message for message in sent if isinstance(message, News)]
+    digests = [message for message in sent if isinstance(message, PeerUpdate)]
     urgent = [message for message in sent if isinstance(message, Notices)]
     assert len(digests) <= 1.05 / UPDATE_SECONDS + 1
     assert len(urgent) >= 80
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 
 from ashpond.clients.peer import (
     KINDS,
-    AskAttempt,
+    AttemptQuery,
     Facts,
     PeerStream,
     parse_message,
@@ -42,7 +42,7 @@
 async def test_messages_arrive_as_sent():
     client, server = make_pair(SECRET, SECRET)
     await shake_hands(client, server)
-    for message in (AskAttempt("a/b/1"), Facts("x", [["o", 1, 2, {"k": [1]}]])):
+    for message in (AttemptQuery("a/b/1"), Facts("x", [["o", 1, 2, {"k": [1]}]])):
         await client.send(message)
         assert await server.receive() == message
 
@@ -64,7 +64,7 @@
     client, server = make_pair(SECRET, SECRET)
     await shake_hands(client, server)
     with pytest.raises(FrameError, match="too large"):
-        await client.send(AskAttempt("x" * MAX_FRAME_BYTES))
+        await client.send(AttemptQuery("x" * MAX_FRAME_BYTES))
     await client._stream.send_all(b"\xff\xff\xff\xff")
     with pytest.raises(FrameError, match="too large"):
         await server.receive()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -11,7 +11,7 @@
 import trio.testing
 from hypothesis import given, strategies as st
 
-from ashpond.clients.peer import ServerEndNews
+from ashpond.clients.peer import CrashReport
 from ashpond.controllers.crashdetection import LostRequest
 from ashpond.controllers.directory import ServerState, ServerTable
 from ashpond.controllers.quarantine import (
@@ -673,7 +673,7 @@
     complete = list(make_crash())
     for message in (crashes, [complete, *crashes], [complete[:-1]], [[*complete, 1]]):
         try:
-            _, found = decode_crashes(ServerEndNews("i", "own", message))
+            _, found = decode_crashes(CrashReport("i", "own", message))
         except FrameError:
             continue
         assert [list(crash) for crash in found] == message
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -226,7 +226,7 @@
 async def test_updates_contain_the_start() -> None:
     notices = [["a", "m1", 2, 0.5, False, 1234, None, False]]
     holdings = [["a", "salt", "part", 1234]]
-    digest = decode_update(make_update(notices=notices, holdings=holdings))
+    digest = decode_update(make_update(notices=notices, cache_entries=holdings))
     assert digest.notices[0].started_ms == 1234
     assert digest.cache_entries[0].started_ms == 1234
     assert encode_update("i1#1", digest).notices == notices
