--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -46,7 +46,7 @@
             await stream.send_all(make_answer(self.body, status=self.status))
 
 
-async def test_an_order_says_who_gives_it_and_after_which() -> None:
+async def test_an_order_names_its_holder_fence_and_precondition() -> None:
     engine = Engine(202)
     async with run_server(engine.script) as address:
         port = build_engine_port(ChannelPool())
@@ -65,7 +65,7 @@
     }
 
 
-async def test_an_order_may_cut_the_runs() -> None:
+async def test_an_order_that_cuts_runs_has_the_mode_truncate() -> None:
     engine = Engine(202)
     async with run_server(engine.script) as address:
         port = build_engine_port(ChannelPool())
@@ -73,7 +73,7 @@
     assert b'"mode":"truncate"' in engine.requests[0]
 
 
-async def test_answers_to_orders_are_told_apart() -> None:
+async def test_statuses_of_answers_to_orders_become_outcomes() -> None:
     expected = {
         200: OrderAccepted(is_in_force=True),
         409: OrderRefused(409),
@@ -86,7 +86,7 @@
             assert await port.order(make_server(address=address), ORDER) == outcome
 
 
-async def test_an_order_without_an_answer_may_have_been_taken() -> None:
+async def test_an_order_without_an_answer_may_have_been_accepted() -> None:
     async def hang_up(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.aclose()
@@ -97,7 +97,7 @@
     assert isinstance(outcome, MaybeRun)
 
 
-async def test_an_order_that_reached_nobody_was_not_taken() -> None:
+async def test_an_order_without_a_connection_was_not_accepted() -> None:
     port = build_engine_port(ChannelPool())
     assert isinstance(
         await port.order(make_server(address="127.0.0.1:1"), ORDER), NotRun
@@ -111,7 +111,7 @@
     assert report == EngineReport({"m1": 1}, False, 2)
 
 
-async def test_a_report_that_is_not_valid_tells_nothing() -> None:
+async def test_an_invalid_report_is_not_used() -> None:
     async with run_server(Engine(200, {"models": 1}).script) as address:
         port = build_engine_port(ChannelPool())
         assert isinstance(await port.report(make_server(address=address)), MaybeRun)
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -40,7 +40,7 @@
 INSTRUCTIONS = Instructions("i-1", "desk", 1.5, "salt", 3, 12, "7", "a:1", "b:2")
 
 
-def test_a_request_is_read_into_types() -> None:
+def test_request_headers_are_decoded() -> None:
     envelope = read_envelope(REQUEST)
     assert envelope.request_id == "9c41d07be2a35f68"
     assert envelope.timeout == 5.0
@@ -50,7 +50,7 @@
     assert envelope.prompt.parts[1] == PromptPart("91bd3f06", 410)
 
 
-def test_the_key_never_goes_on() -> None:
+def test_the_clients_key_is_not_forwarded() -> None:
     headers = write_headers(read_envelope(REQUEST), INSTRUCTIONS)
     assert b"secret" not in b"".join(value for _, value in headers)
 
@@ -65,13 +65,13 @@
     assert (b"forged") not in [value for _, value in headers]
 
 
-def test_prompt_headers_and_others_go_on_as_they_came() -> None:
+def test_prompt_headers_and_other_headers_are_forwarded_unchanged() -> None:
     headers = write_headers(read_envelope(REQUEST), INSTRUCTIONS)
     for name in (b"X-Model", b"X-Token-Counts", b"X-Prompt-Prefix", b"X-Own"):
         assert headers.count((name, dict(REQUEST)[name])) == 1
 
 
-def test_headers_of_one_connection_stay_there() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     request = [*REQUEST, (b"Connection", b"keep-alive, X-Own"), (b"TE", b"trailers")]
     names = [name for name, _ in read_envelope(request).headers]
     assert b"X-Own" not in names
@@ -101,7 +101,7 @@
     assert read_envelope(REQUEST[2:]) is None
 
 
-def test_an_answers_marks_are_read() -> None:
+def test_answer_headers_are_decoded() -> None:
     answer = read_answer_headers(
         [(b"x-weight-versions", b"4"), (b"x-not-executed", b"1")]
     )
@@ -110,14 +110,14 @@
 
 
 @pytest.mark.parametrize("text", ["\u00b2", "9" * 30, "-1", "", "1.0", "9" * 5000])
-def test_a_version_that_is_no_number_of_64_bits_is_not_there(text: str) -> None:
+def test_a_version_that_is_no_number_of_64_bits_is_ignored(text: str) -> None:
     """A superscript two counts as a digit, and ended the instance that read it."""
     answer = read_answer_headers([(b"x-weight-versions", text.encode("latin-1"))])
     assert answer.weights_version is None
 
 
 @pytest.mark.parametrize("counts", ["9" * 30 + ",1", "-5,1", "1,-5", "9" * 4000 + ",1"])
-def test_token_counts_that_no_prompt_has_are_not_believed(counts: str) -> None:
+def test_impossible_token_counts_are_ignored(counts: str) -> None:
     """A client's 30 digits ended the log and the news of its instance, and so it."""
     headers = [(b"x-request-id", b"i"), (b"x-model", b"m")]
     headers.append((b"x-token-counts", counts.encode()))
@@ -136,7 +136,7 @@
         )
     )
 )
-def test_headers_of_a_client_always_make_a_log_line(
+def test_any_headers_of_a_client_can_be_logged(
     headers: list[tuple[bytes, bytes]],
 ) -> None:
     envelope = read_envelope([(b"x-request-id", b"i"), *headers])
@@ -156,7 +156,7 @@
         )
     )
 )
-def test_headers_of_a_server_always_make_marks(
+def test_any_headers_of_a_server_can_be_decoded(
     headers: list[tuple[bytes, bytes]],
 ) -> None:
     version = read_answer_headers(headers).weights_version
@@ -205,7 +205,7 @@
         ([b"0", b"1"], (True, True)),
     ],
 )
-def test_a_server_that_leaves_says_1(
+def test_only_the_value_1_means_that_a_server_is_leaving(
     values: list[bytes], expected: tuple[bool, bool]
 ) -> None:
     answer = read_answer_headers([(b"Server-Leaving", value) for value in values])
@@ -235,7 +235,7 @@
         ([b"9" * 400], (None, True)),
     ],
 )
-def test_a_time_to_come_back_is_in_seconds_or_a_date(
+def test_retry_after_is_in_seconds_or_a_date(
     values: list[bytes], expected: tuple[float | None, bool]
 ) -> None:
     """Of several the longest counts."""
@@ -244,7 +244,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=3))
-def test_whatever_a_server_says_of_itself_makes_marks(values: list[bytes]) -> None:
+def test_any_directives_of_a_server_can_be_decoded(values: list[bytes]) -> None:
     names = (b"retry-after", b"server-limit", b"server-leaving", b"date")
     answer = read_answer_headers([(name, value) for name in names for value in values])
     assert answer.backoff is None or 0 <= answer.backoff < float("inf")
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -46,7 +46,7 @@
     return values
 
 
-async def ask(address: str, request: bytes) -> bytes:
+async def send_request(address: str, request: bytes) -> bytes:
     host, port = address.split(":")
     try:
         stream = await trio.open_tcp_stream(host, int(port))
@@ -60,11 +60,11 @@
 async def wait_until_ready(address: str) -> None:
     check = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
     with trio.fail_after(TIMEOUT_SECONDS):
-        while not (await ask(address, check)).startswith(b"HTTP/1.1 200"):
+        while not (await send_request(address, check)).startswith(b"HTTP/1.1 200"):
             await trio.sleep(0.05)
 
 
-async def test_the_program_starts_serves_and_leaves(tmp_path: Path) -> None:
+async def test_the_program_starts_serves_and_stops(tmp_path: Path) -> None:
     memory = MemoryStore()
     configuration = {**CONFIGURATION, "routes": ROUTES}
     memory.put(OPERATOR_TABLE, "config", orjson.dumps(configuration))
@@ -81,7 +81,9 @@
         )
         try:
             await wait_until_ready(settings["readiness_address"])
-            answer = await ask(settings["callers_address"], make_request("/x/1"))
+            answer = await send_request(
+                settings["callers_address"], make_request("/x/1")
+            )
             assert answer.startswith(b"HTTP/1.1 200")
             program.send_signal(signal.SIGTERM)
             log = b""
--- a/tests/test_platform_rows.py
+++ b/tests/test_platform_rows.py
@@ -49,10 +49,10 @@
     assert not server.is_draining
 
 
-def test_a_state_other_than_ready_means_no_new_work() -> None:
+def test_a_server_in_the_state_draining_is_draining() -> None:
     row = make_row("i-1", {**SERVER, "state": "draining"})
     assert decode_server_row(row).is_draining
 
 
-def test_a_removed_row_is_a_server_that_has_gone() -> None:
+def test_a_removed_row_has_no_server() -> None:
     assert decode_server_row(Row("servers", "i-1", None, 9)) is None
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -112,7 +112,7 @@
     ]
 
 
-async def test_dropped_history_is_told() -> None:
+async def test_lost_history_is_reported() -> None:
     memory = MemoryStore()
     memory.put("t", "a", b"1")
     memory.forget_history()
@@ -120,7 +120,7 @@
         assert await store.follow("t", 0, 0.0) == HistoryLost()
 
 
-async def test_a_condition_that_fails_returns_the_rows() -> None:
+async def test_a_failed_condition_returns_the_current_rows() -> None:
     memory = MemoryStore()
     memory.put("t", "a", b"1")
     put = [Row("t", "a", b"2", 0)]
@@ -144,6 +144,6 @@
     assert memory.rows["t", "a"].value == b"2"
 
 
-async def test_nobody_listening_is_unavailable() -> None:
+async def test_a_store_that_refuses_connections_is_unavailable() -> None:
     store = build_store(lambda: "127.0.0.1:1", ChannelPool())
     assert isinstance(await store.read("t"), Unavailable)
