--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,8 +16,8 @@
 
 
 def wait_for(condition: Callable[[], Any]) -> Any:
-    end = time.monotonic() + TIMEOUT_SECONDS
-    while time.monotonic() < end:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
         found = condition()
         if found:
             return found
@@ -39,9 +39,9 @@
 
 def call(instance: Process, key: str, **headers: str) -> httpx.Response:
     url = f"http://{instance.address}/services/settle-pub/publish"
-    marks = {"Idempotency-Key": key, "X-Call-Id": key}
-    given = KEY | marks | headers
-    return httpx.post(url, content=b"bid", headers=given, timeout=TIMEOUT_SECONDS)
+    call_headers = {"Idempotency-Key": key, "X-Call-Id": key}
+    all_headers = KEY | call_headers | headers
+    return httpx.post(url, content=b"bid", headers=all_headers, timeout=TIMEOUT_SECONDS)
 
 
 def count_runs(fleet: Fleet, key: str) -> int:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -54,7 +54,7 @@
         ),
     ],
 )
-def test_names_file_key_value_and_reason(text, expected):
+def test_a_fault_names_file_key_value_and_reason(text, expected):
     problems = list_problems("bad.toml", text)
     assert any(expected in problem for problem in problems), problems
 
@@ -67,7 +67,7 @@
     ]
 
 
-def test_never_shows_key_hashes():
+def test_errors_never_show_key_hashes():
     text = '[teams.t]\nkey_hashes = ["nothex"]\nservices = []\npriorities = ["urgent"]'
     assert not any("nothex" in problem for problem in list_problems("t.toml", text))
 
@@ -77,7 +77,7 @@
     assert "the same key belongs to team" in list_problems("copy.toml", text)[0]
 
 
-def test_settings_name_file_key_and_reason():
+def test_settings_errors_name_file_key_and_reason():
     with pytest.raises(SettingsError) as caught:
         parse_settings("entry.toml", 'name = "x"\nport = 5\nadmin_token = "short"\n')
     text = str(caught.value)
--- a/tests/test_loopdelay.py
+++ b/tests/test_loopdelay.py
@@ -13,7 +13,7 @@
     return LoopWatch(delays.append, lambda: times[0]), delays, times
 
 
-def test_a_long_step_is_noted_with_its_length():
+def test_a_long_step_is_recorded_with_its_length():
     watch, delays, times = make_watch()
     watch.after_io_wait(0.0)
     times[0] += 0.067
@@ -23,7 +23,7 @@
     assert watch.describe() == [0.067, 2.0]
 
 
-def test_a_wait_that_ends_too_late_is_noted():
+def test_a_wait_that_ends_too_late_is_recorded():
     watch, delays, times = make_watch()
     watch.before_io_wait(0.1)
     times[0] += 0.1 + 2 * MIN_STALL_SECONDS
@@ -31,7 +31,7 @@
     assert [round(delay.seconds, 3) for delay in delays] == [2 * MIN_STALL_SECONDS]
 
 
-def test_short_steps_and_waits_in_time_are_not_noted():
+def test_short_steps_and_punctual_waits_are_not_recorded():
     watch, delays, times = make_watch()
     for _ in range(5):
         watch.before_io_wait(1.0)
@@ -43,7 +43,7 @@
     assert watch.describe() is None
 
 
-async def test_the_event_loop_tells_of_its_own_steps(mock_clock):
+async def test_steps_of_a_running_event_loop_are_measured(mock_clock):
     delays: list[LoopDelay] = []
     watch = LoopWatch(delays.append)
     watch.start()
--- a/tests/test_lossreport.py
+++ b/tests/test_lossreport.py
@@ -43,7 +43,7 @@
     return losses[0].cause if losses else None
 
 
-def test_an_answer_in_time_is_no_loss() -> None:
+def test_an_answer_on_time_is_no_loss() -> None:
     assert find_cause(make_sent(), make_end(first_after=0.5)) is None
 
 
@@ -56,7 +56,7 @@
     assert find_cause(make_sent(), make_sent(t=1.2), late) is Cause.RETRIED
 
 
-def test_what_was_not_served_has_a_cause() -> None:
+def test_each_request_that_was_not_served_has_a_cause() -> None:
     refused = make_end("refused", status=503)
     assert find_cause(refused) is Cause.BUSY
     assert find_cause(refused | {"knowledge_age": 4.0}) is Cause.STALE_KNOWLEDGE
@@ -65,7 +65,7 @@
     assert find_cause(make_sent()) is Cause.NO_END_RECORDED
 
 
-def test_what_no_configuration_allows_is_left_out() -> None:
+def test_requests_of_an_unknown_route_are_left_out() -> None:
     assert find_losses([make_end("refused", status=404)]) == ([], {})
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -88,16 +88,16 @@
     )
 
 
-def test_a_racing_operator_is_refused_with_both_generations(fleet):
+def test_an_apply_on_an_old_generation_is_refused_with_both_generations(fleet):
     change = write_change(fleet, 5.0)
     base = read_generation(fleet)
     assert run_apply(fleet, change, "--base", str(base), "--wait").returncode == 0
-    late = run_apply(fleet, change, "--base", str(base))
-    assert late.returncode == 1
-    assert f"based on generation {base}, but {base + 1} is in force" in late.stderr
+    outdated = run_apply(fleet, change, "--base", str(base))
+    assert outdated.returncode == 1
+    assert f"based on generation {base}, but {base + 1} is in force" in outdated.stderr
 
 
-def test_a_bad_file_is_refused_whole_and_named(fleet):
+def test_a_change_with_a_bad_file_is_refused_whole_and_names_the_file(fleet):
     before = read_generation(fleet)
     path = fleet.directory / "teams.toml"
     path.write_text('[teams.x]\nkey_hashes = []\ncolor = "red"\n')
@@ -159,11 +159,11 @@
         )
 
     wait_for(serve_until_loaded)
-    fresh = ask(fleet.instances[0]).json()["usage"]["prompt_tokens_details"]
-    assert fresh["cached_tokens"] >= 0
+    token_details = ask(fleet.instances[0]).json()["usage"]["prompt_tokens_details"]
+    assert token_details["cached_tokens"] >= 0
 
 
-def test_a_killed_engine_costs_no_call(fleet, threads):
+def test_no_call_is_lost_when_an_engine_is_killed(fleet, threads):
     bodies = [
         make_body(messages=[{"role": "user", "content": f"{n} " * 300}], max_tokens=40)
         for n in range(12)
@@ -178,13 +178,13 @@
 
 
 def test_the_burn_report_counts_what_was_served(fleet):
-    report = wait_for(lambda: find_counted(fleet))
+    report = wait_for(lambda: read_report_with_counts(fleet))
     assert "first token in time" in report
     page = fleet.directory / "burn.html"
     fleet.run_command("report", "burn", "--html", str(page))
     assert "<table>" in page.read_text()
 
 
-def find_counted(fleet: Fleet) -> str | None:
+def read_report_with_counts(fleet: Fleet) -> str | None:
     report = fleet.run_command("report", "burn")
     return report if "market-desk" in report else None
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -32,7 +32,7 @@
 from tools.fleet import Fleet
 
 # A stream that ends short says why in its last event, of some 200 characters.
-SHOWN_CHARACTERS = 400
+MAX_SHOWN = 400
 
 
 def test_an_unmodified_client_library_gets_both_kinds_of_answer(fleet):
@@ -77,7 +77,7 @@
     assert ask(instance).status_code == 200
 
 
-def test_a_stranger_on_the_peers_port_is_refused(fleet):
+def test_invalid_frames_on_the_peers_port_are_refused(fleet):
     host, port = fleet.instances[0].peers.split(":")
     for junk in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x02\x92\x01", b"\xff" * 64):
         with socket.create_connection((host, int(port))) as connection:
@@ -97,7 +97,7 @@
     try:
         for stream in streams:
             text = stream.result().text
-            assert read_events(text) == list(range(1, 152)), text[-SHOWN_CHARACTERS:]
+            assert read_events(text) == list(range(1, 152)), text[-MAX_SHOWN:]
         assert instance.popen.wait(TIMEOUT_SECONDS) == 0
         assert ask(fleet.instances[0]).status_code == 200
     finally:
@@ -105,7 +105,7 @@
         restart(fleet, 2)
 
 
-def test_a_stream_that_is_cut_goes_on(fleet):
+def test_a_cut_stream_is_continued_without_a_gap(fleet):
     set_all(fleet, fleet.engines, cut_after=5)
     response = ask(fleet.instances[0], make_body(stream=True, max_tokens=20))
     assert read_events(response.text) == list(range(1, 22))
@@ -127,14 +127,14 @@
     first, second = fleet.instances[:2]
     url = f"http://{first.address}/v1/chat/completions"
     body = make_body(stream=True, max_tokens=30)
-    marks = KEY | {"Ashpond-Resumable": "true"}
-    with httpx.stream("POST", url, json=body, headers=marks) as response:
+    extra_headers = KEY | {"Ashpond-Resumable": "true"}
+    with httpx.stream("POST", url, json=body, headers=extra_headers) as response:
         token = response.headers["Ashpond-Stream"]
         head = next(response.iter_text())
-    had = read_events(head[: head.rindex("\n\n") + 1])
-    url = f"http://{second.address}/v1/streams/{token}?after={had[-1]}"
+    received = read_events(head[: head.rindex("\n\n") + 1])
+    url = f"http://{second.address}/v1/streams/{token}?after={received[-1]}"
     rest = httpx.get(url, headers=KEY, timeout=TIMEOUT_SECONDS)
-    assert had + read_events(rest.text) == list(range(1, 32))
+    assert received + read_events(rest.text) == list(range(1, 32))
     other = {"Authorization": "Bearer demo-key-auditors"}
     assert httpx.get(url, headers=other).status_code == 404
     assert httpx.get(url + "x", headers=KEY).status_code == 400
@@ -143,10 +143,10 @@
 
 
 def send_together(threads, fleet: Fleet, key: str) -> list[httpx.Response]:
-    sends: list[Future[httpx.Response]] = [
+    futures: list[Future[httpx.Response]] = [
         threads.submit(call, fleet.instances[n % 3], key) for n in range(9)
     ]
-    return [send.result() for send in sends]
+    return [future.result() for future in futures]
 
 
 def test_one_key_through_all_instances_at_once_runs_once(fleet, threads):
@@ -157,12 +157,12 @@
         if answer.status_code != 200:
             assert answer.json()["error"]["run"] == "outcome_unknown"
     assert any(answer.status_code == 200 for answer in answers)
-    replay = wait_for(lambda: find_whole(call(fleet.instances[1], key)))
+    replay = wait_for(lambda: get_if_ok(call(fleet.instances[1], key)))
     assert replay.json()["runs"] == 1
     assert count_runs(fleet, key) == 1
 
 
-def find_whole(response: httpx.Response) -> httpx.Response | None:
+def get_if_ok(response: httpx.Response) -> httpx.Response | None:
     return response if response.status_code == 200 else None
 
 
@@ -172,11 +172,11 @@
     first = call(fleet.instances[0], key)
     fleet.set_faults(fleet.platform, lose_answers=0)
     assert first.status_code in (200, 503)
-    wait_for(lambda: find_whole(call(fleet.instances[1], key)))
+    wait_for(lambda: get_if_ok(call(fleet.instances[1], key)))
     assert count_runs(fleet, key) == 1
 
 
-def test_without_the_store_a_keyed_call_is_truly_not_run(fleet):
+def test_without_the_store_a_keyed_call_is_not_run(fleet):
     key = uuid.uuid4().hex
     fleet.set_faults(fleet.platform, outage=True)
     refused = call(fleet.instances[0], key)
@@ -187,10 +187,10 @@
     assert refused.json()["error"]["retry_after_ms"] > 0
     assert count_runs(fleet, key) == 0
     assert served.status_code == 200
-    wait_for(lambda: find_whole(call(fleet.instances[0], key)))
+    wait_for(lambda: get_if_ok(call(fleet.instances[0], key)))
 
 
-def test_the_owner_of_a_claim_is_killed_and_nothing_runs_twice(fleet, threads):
+def test_after_the_owner_of_a_claim_is_killed_nothing_runs_twice(fleet, threads):
     key = uuid.uuid4().hex
     set_all(fleet, fleet.services, slow_seconds=2.0)
     lost = threads.submit(call, fleet.instances[2], key)
@@ -206,7 +206,7 @@
     assert count_runs(fleet, key) == 1
 
 
-def test_the_owner_of_a_claim_is_paused_and_wakes(fleet, threads):
+def test_after_the_owner_of_a_claim_is_paused_nothing_runs_twice(fleet, threads):
     key = uuid.uuid4().hex
     owner = fleet.instances[2]
     set_all(fleet, fleet.services, slow_seconds=1.0)
@@ -225,14 +225,16 @@
     key = uuid.uuid4().hex
     set_all(fleet, fleet.services, drop_answers=1)
     url = f"http://{fleet.instances[0].address}/services/settle-pub/publish"
-    marks = KEY | {"X-Call-Id": key}
-    answer = httpx.post(url, content=b"x", headers=marks, timeout=TIMEOUT_SECONDS)
+    extra_headers = KEY | {"X-Call-Id": key}
+    answer = httpx.post(
+        url, content=b"x", headers=extra_headers, timeout=TIMEOUT_SECONDS
+    )
     set_all(fleet, fleet.services, drop_answers=0)
     assert answer.json()["error"]["run"] == "outcome_unknown"
     assert count_runs(fleet, key) == 1
 
 
-def test_a_frozen_engine_costs_no_repeatable_call(fleet, threads):
+def test_no_repeatable_call_is_lost_to_a_frozen_engine(fleet, threads):
     bodies = [
         make_body(messages=[{"role": "user", "content": f"{n} " * 400}])
         for n in range(9)
@@ -247,7 +249,7 @@
     assert codes == [200] * 9
 
 
-def test_a_busy_engine_is_not_given_up(fleet, threads):
+def test_a_slow_answer_of_a_busy_engine_causes_no_retry(fleet, threads):
     """Failed first: calls that waited over 2 s were sent again elsewhere."""
     set_all(fleet, fleet.engines, slow=40.0)
     before = sum(count_prefilled(fleet, engine) for engine in fleet.engines)
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -57,21 +57,21 @@
     assert clock.deadline_to_sleep_time(before) == 0.0
 
 
-def test_a_runtime_goes_by_it() -> None:
+def test_the_runtime_uses_the_clock() -> None:
     async def measure() -> float:
-        begun_at = time.clock_gettime(time.CLOCK_BOOTTIME)
-        assert abs(trio.current_time() - begun_at) < 1.0
+        started_at = time.clock_gettime(time.CLOCK_BOOTTIME)
+        assert abs(trio.current_time() - started_at) < 1.0
         with trio.move_on_after(CHECK_SECONDS * 1.5) as scope:
             await trio.sleep_forever()
         assert scope.cancelled_caught
-        return time.clock_gettime(time.CLOCK_BOOTTIME) - begun_at
+        return time.clock_gettime(time.CLOCK_BOOTTIME) - started_at
 
     clock = choose_clock(lambda event, **fields: None)
     assert clock is not None
     assert trio.run(measure, clock=clock) >= CHECK_SECONDS * 1.5
 
 
-def test_where_there_is_no_such_clock_it_is_said(
+def test_a_missing_boot_time_clock_is_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def refuse(clock: int) -> float:
@@ -83,7 +83,7 @@
     assert events == ["clock_stands_still_in_suspension"]
 
 
-async def test_a_suspension_is_told_once_with_its_length(
+async def test_a_suspension_is_logged_once_with_its_length(
     autojump_clock: object, nursery: trio.Nursery
 ) -> None:
     log = DecisionLog("i")
@@ -98,11 +98,11 @@
     assert [line["event"] for line in log._lines] == ["machine_suspended"]
 
 
-def test_a_machine_that_runs_was_suspended_for_no_negative_time() -> None:
+def test_the_measured_suspension_is_not_negative() -> None:
     assert runtimeclock.measure_suspended() > -runtimeclock.MIN_SUSPENSION_SECONDS
 
 
-def test_no_order_is_sent_under_a_lease_of_before(
+def test_a_lease_expires_during_a_suspension(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     async def check() -> None:
@@ -117,7 +117,7 @@
     trio.run(check, clock=mock_clock)
 
 
-async def test_a_key_is_not_accepted_by_what_was_known_before(
+async def test_a_key_is_refused_if_the_configuration_aged_in_a_suspension(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     knowledge = Knowledge()
@@ -132,15 +132,15 @@
     assert refusal.status == 503
 
 
-async def test_peers_and_hubs_of_before_do_not_count(
+async def test_peer_loads_and_hubs_expire_during_a_suspension(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     table = make_table(make_server("a"))
     view = FleetView(10.0)
     now = trio.current_time()
-    work = InstanceLoad({}, {})
+    load = InstanceLoad({}, {})
     view.set_hubs(["h"])
-    view.add("h#1", PeerReport("h", Scope.FLEET, now, work))
+    view.add("h#1", PeerReport("h", Scope.FLEET, now, load))
     table.note_peer_loads("h#1", {"a": Load(3)}, now)
     assert view.find_hub(now) is not None
     assert table.sum_load("a", now).requests == 3
@@ -150,7 +150,7 @@
     assert table.sum_load("a", now).requests == 0
 
 
-async def test_the_budgets_window_has_moved_on(
+async def test_the_retry_budget_window_moves_on_in_a_suspension(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     budget = FleetRetryBudget(0.2, 4.0, SUSPENDED_SECONDS / 2, started_at=-60.0)
@@ -160,7 +160,9 @@
     assert budget.take(1, trio.current_time())
 
 
-async def test_who_reads_for_others_asks_at_once(autojump_clock: Any) -> None:
+async def test_a_table_reader_asks_the_store_at_once_on_waking(
+    autojump_clock: Any,
+) -> None:
     store = MemoryStore()
     store.put("t", "a", b"1")
     followed = FollowedTable(store)
@@ -174,7 +176,9 @@
         assert followed.as_of >= before + SUSPENDED_SECONDS
 
 
-async def test_a_call_ends_with_its_deadline(autojump_clock: Any) -> None:
+async def test_a_call_ends_at_its_deadline_despite_a_suspension(
+    autojump_clock: Any,
+) -> None:
     async def wake() -> None:
         await trio.sleep(0.5)
         autojump_clock.jump(SUSPENDED_SECONDS)
@@ -186,7 +190,7 @@
     assert bench.reply.finished_at <= SUSPENDED_SECONDS + 0.6
 
 
-async def test_an_idle_connection_of_before_is_not_used() -> None:
+async def test_an_idle_connection_is_not_reused_after_a_suspension() -> None:
     now = 100.0
 
     async def script(stream: trio.SocketStream, number: int) -> None:
@@ -200,7 +204,7 @@
         assert await ask(pool, address, make_request()) == b"2"
 
 
-async def test_what_the_store_answered_before_is_dated_before(
+async def test_a_store_answer_read_on_waking_is_dated_before_the_suspension(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     """An answer that was read only on waking is as old as it is."""
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -27,7 +27,7 @@
 
 ENGINES = [f"engine-{number}" for number in range(5)]
 INSTANCES = 6
-LATE_REQUESTS = 8
+DELAY_REQUESTS = 8
 OUTCOMES = tomllib.loads((TRACES / "outcomes.toml").read_text())
 
 
@@ -48,12 +48,12 @@
 
     def __init__(self, policy: str):
         self.policy = policy
-        self.held = {name: make_view() for name in ENGINES}
+        self.engine_caches = {name: make_view() for name in ENGINES}
         self.views = [{n: make_view() for n in ENGINES} for _ in range(INSTANCES)]
-        self.late: list[tuple[str, PrefixChain]] = []
+        self.delayed: list[tuple[str, PrefixChain]] = []
         self.rng = random.Random(5)
 
-    def place(self, instance: int, chain: PrefixChain, tokens: int) -> str:
+    def choose(self, instance: int, chain: PrefixChain, tokens: int) -> str:
         if self.policy == "random":
             return self.rng.choice(ENGINES)
         if self.policy == "hashing":
@@ -70,33 +70,33 @@
 
     def run(self, events: list[Event]) -> Outcome:
         total = hits = wasted = 0
-        work: Counter[str] = Counter()
-        asked = [event for event in events if event.parts]
-        for number, event in enumerate(asked):
+        load: Counter[str] = Counter()
+        requests = [event for event in events if event.parts]
+        for number, event in enumerate(requests):
             chain = make_chain(event)
             tokens = len(chain.blocks) * BLOCK_TOKENS
-            name = self.place(number % INSTANCES, chain, tokens)
-            cached = self.held[name].match(chain.blocks)
-            best = max(view.match(chain.blocks) for view in self.held.values())
+            name = self.choose(number % INSTANCES, chain, tokens)
+            cached = self.engine_caches[name].match(chain.blocks)
+            best = max(view.match(chain.blocks) for view in self.engine_caches.values())
             total += tokens
             hits += cached * BLOCK_TOKENS
             wasted += (best - cached) * BLOCK_TOKENS
-            work[name] += tokens - cached * BLOCK_TOKENS
-            self.note(number % INSTANCES, name, chain)
-        return Outcome(hits / total, wasted, max(work.values()) / sum(work.values()))
+            load[name] += tokens - cached * BLOCK_TOKENS
+            self.record(number % INSTANCES, name, chain)
+        return Outcome(hits / total, wasted, max(load.values()) / sum(load.values()))
 
-    def note(self, instance: int, name: str, chain: PrefixChain) -> None:
-        self.held[name].note_used("i", chain.blocks)
+    def record(self, instance: int, name: str, chain: PrefixChain) -> None:
+        self.engine_caches[name].note_used("i", chain.blocks)
         self.views[instance][name].note_used("i", chain.blocks)
-        self.late.append((name, chain))
-        if len(self.late) > LATE_REQUESTS:
-            heard, told = self.late.pop(0)
+        self.delayed.append((name, chain))
+        if len(self.delayed) > DELAY_REQUESTS:
+            engine, updated_chain = self.delayed.pop(0)
             for views in self.views:
-                views[heard].note_used("i", told.blocks)
+                views[engine].note_used("i", updated_chain.blocks)
 
 
 @pytest.mark.parametrize("trace", sorted(OUTCOMES))
-def test_a_trace_ends_as_stated(trace):
+def test_a_trace_meets_its_stated_outcome(trace):
     stated = OUTCOMES[trace]
     events = load_trace(TRACES / f"{trace}.jsonl")
     outcome = Replay("ashpond").run(events)
@@ -106,13 +106,16 @@
 
 
 @pytest.mark.parametrize("trace", sorted(OUTCOMES))
-def test_a_trace_goes_better_than_without_knowledge(trace):
+def test_choices_by_cache_views_beat_random_choices(trace):
     events = load_trace(TRACES / f"{trace}.jsonl")
-    ours, blind = Replay("ashpond").run(events), Replay("random").run(events)
-    assert ours.hit_rate > blind.hit_rate
-    assert ours.wasted <= 0.25 * blind.wasted
+    outcome, random_outcome = (
+        Replay("ashpond").run(events),
+        Replay("random").run(events),
+    )
+    assert outcome.hit_rate > random_outcome.hit_rate
+    assert outcome.wasted <= 0.25 * random_outcome.wasted
 
 
-def test_one_event_has_the_blocks_that_engines_cache():
+def test_an_event_has_the_block_hashes_that_engines_cache():
     event = next(e for e in load_trace(TRACES / "demo.jsonl") if e.parts)
     assert make_chain(event).blocks == hash_event(event)
