--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,18 +1,18 @@
-"""Find ports that are free, for tests that listen."""
+"""Free ports for tests that listen."""
 
 from __future__ import annotations
 
 import random
 import socket
 
-# Below the ports that outgoing connections take by themselves (32768 and up): one of
-# those may be the very port that a test has found free a moment ago.
+# Below the ephemeral ports (32768 and up): an outgoing connection of another process
+# could take one of those between the check below and the start of the listener.
 LISTENING_PORTS = range(10_240, 32_000)
 _handed_out: set[int] = set()
 
 
 def find_free_port() -> int:
-    # A quarter of the ports at most is ever looked at; a shuffle of all takes longer.
+    # Random picks are faster than a shuffle of all ports; at most a quarter is tried.
     for _ in range(len(LISTENING_PORTS) // 4):
         port = random.choice(LISTENING_PORTS)
         with socket.socket() as sock:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests that run separate processes."""
+"""Helpers for tests that run separate processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         if found:
             return found
         time.sleep(0.05)
-    raise AssertionError("the state never came")
+    raise AssertionError("the expected state was not reached in time")
 
 
 def make_body(**changes: Any) -> dict[str, Any]:
--- a/tests/test_loopdelay.py
+++ b/tests/test_loopdelay.py
@@ -1,4 +1,4 @@
-"""How long the event loop was held up."""
+"""Stalls of the event loop are measured and recorded."""
 
 from __future__ import annotations
 
--- a/tests/test_lossreport.py
+++ b/tests/test_lossreport.py
@@ -1,4 +1,4 @@
-"""Which requests were late or lost, and why, from the logs."""
+"""The loss report finds late and lost requests in decision logs, with their causes."""
 
 from __future__ import annotations
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,7 +1,7 @@
-"""What operators do, on separate processes: apply, drain, replace, roll out.
+"""Operations on separate processes: apply, drain, replace and roll out.
 
-Nothing here is decided by how long something took: each test waits for a state
-and fails only if it never comes.
+No test depends on how fast the machine is: each waits for a state and fails only if
+the state is not reached.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def test_an_idle_connection_does_not_hold_up_a_shutdown(fleet):
-    """Failed first: an instance with one idle connection did not end."""
+    """Guards against an idle connection that keeps an instance from exiting."""
     instance = fleet.instances[1]
     with httpx.Client(headers=KEY) as client:
         url = f"http://{instance.address}/v1/chat/completions"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,7 +1,7 @@
 """Requests through separate processes: kills, pauses, cuts and lost answers.
 
-Nothing here is decided by how long something took: each test waits for a state
-and fails only if it never comes.
+No test depends on how fast the machine is: each waits for a state and fails only if
+the state is not reached.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 )
 from tools.fleet import Fleet
 
-# A stream that ends short says why in its last event, of some 200 characters.
+# The last event of a stream that ends early holds the reason, in some 200 characters.
 MAX_SHOWN = 400
 
 
@@ -101,7 +101,7 @@
         assert instance.popen.wait(TIMEOUT_SECONDS) == 0
         assert ask(fleet.instances[0]).status_code == 200
     finally:
-        # Later tests need the instance, also if this one fails.
+        # Later tests need the instance even if this one fails.
         restart(fleet, 2)
 
 
@@ -250,7 +250,7 @@
 
 
 def test_a_slow_answer_of_a_busy_engine_causes_no_retry(fleet, threads):
-    """Failed first: calls that waited over 2 s were sent again elsewhere."""
+    """Guards against retries at another engine of calls that waited for over 2 s."""
     set_all(fleet, fleet.engines, slow=40.0)
     before = sum(count_prefilled(fleet, engine) for engine in fleet.engines)
     body = make_body(messages=[{"role": "user", "content": "slow " * 800}])
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -1,8 +1,8 @@
-"""The machine is suspended: time has passed on waking, for everything that ages.
+"""After a suspension of the machine, everything that ages has aged by its length.
 
-The runtime's own clock stood still meanwhile, so that keys, leases and peers' words
-seemed as fresh as before. Here the clock jumps while tasks wait, as the runtime's does
-now on waking.
+The default clock of the runtime stops during a suspension. With it, API keys, leases
+and the updates of peers seemed as fresh after the suspension as before. These tests let
+the clock jump while tasks wait, as the clock of ashpond does after a suspension.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     before = clock.current_time()
     set_clocks(monkeypatch, 101.0, SUSPENDED_SECONDS)
     assert clock.current_time() - before == SUSPENDED_SECONDS + 1.0
-    # A wait that began before would go on by the steady clock.
+    # A longer wait would not count a suspension and would end too late.
     assert clock.deadline_to_sleep_time(before + 60.0) == CHECK_SECONDS
     assert clock.deadline_to_sleep_time(before) == 0.0
 
@@ -207,7 +207,7 @@
 async def test_a_store_answer_read_on_waking_is_dated_before_the_suspension(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """An answer that was read only on waking is as old as it is."""
+    """The age of an answer counts from its sending, not from its reading on waking."""
     store = MemoryStore()
     clock = StoreClock()
     first = store._take_snapshot([], trio.current_time())
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,8 +1,8 @@
-"""Recorded traces, replayed through the decisions against stated outcomes.
+"""Recorded traces are replayed through the decisions and meet stated outcomes.
 
-No time passes here and no engine works: each request is placed by one of six
-instances, whose views hear of what the others sent only some requests later.
-What an engine has cached follows from what it was sent.
+No time passes and no engine runs. One of six instances chooses the engine of each
+request. The cache views of all instances are updated with it only some requests later.
+The cache of an engine follows from the requests that it was sent.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class Replay:
-    """Six instances before five engines, and what each has seen."""
+    """Six instances in front of five engines, with the cache view of each instance."""
 
     def __init__(self, policy: str):
         self.policy = policy
