--- a/ashpond/emulator/__init__.py
+++ b/ashpond/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory: the real decisions against emulated engines in virtual time."""
+"""Runs the real routing decisions against emulated engines in virtual time."""
--- a/ashpond/emulator/engines.py
+++ b/ashpond/emulator/engines.py
@@ -16,10 +16,11 @@
 
 
 class EngineShape(NamedTuple):
-    """What one engine can do; tokens and seconds.
+    """The capacity and the speed of one engine, in tokens and seconds.
 
-    A step makes one token of each answer that runs, and reads up to
-    ``chunk_tokens`` of the prompts that are not read yet.
+    Each step generates one token of every running answer and reads up to
+    ``chunk_tokens`` of the prompts that have not been read yet (chunked prefill).
+    An answer sends an event every ``event_tokens`` tokens.
     """
 
     slots: int = 64
@@ -34,7 +35,7 @@
 
 
 class Run:
-    """One request at an engine, and how far it has come."""
+    """One request at an engine and its progress."""
 
     def __init__(self, prompt: Prompt, salt: str, output_tokens: int, urgency: int):
         self.prompt = prompt
@@ -53,24 +54,30 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """Memory that the run holds besides shared parts."""
+        """The memory that the run itself needs, in tokens.
+
+        Shared prompt parts are not counted: they are in the engine's cache.
+        """
         return self.prompt.parts[-1].tokens + self.prompt.max_output_tokens
 
 
 class EmulatedEngine:
-    """One engine; :meth:`run` works until cancelled.
+    """An engine with continuous batching and a prefix cache.
+
+    ``tokens_read`` counts all prompt tokens that were read, ``tokens_read_again``
+    those of shared parts that some engine had already read under the same salt.
 
-    ``tokens_read`` counts all that was read, ``tokens_read_again`` the shared parts
-    that some engine had read before under the same salt; ``ever_read`` is common to
-    the engines of a service.
+    :param ever_read: the salt and id of each shared part that has been read; one set
+        is used by all engines of a service.
     """
 
     def __init__(self, name: str, shape: EngineShape, ever_read: set[tuple[str, str]]):
         self.name = name
         self.shape = shape
         self.is_down = False
-        # What it says of itself at present, and when requests reached it (seconds).
+        # The statement that its answers carry at present.
         self.statement: EngineStatement | None = None
+        # When requests reached the engine (seconds).
         self.arrivals: list[float] = []
         self.version = 1
         self.accepted_orders = 0
@@ -87,11 +94,14 @@
 
     @property
     def requests(self) -> int:
-        """How many requests wait or run here."""
+        """The number of requests that wait or run at this engine."""
         return len(self._waiting) + len(self._running)
 
     def submit(self, run: Run, source: EmulatedEngine | None) -> None:
-        """Take a request; ``source`` is where to fetch shared parts from."""
+        """Queue a request by urgency.
+
+        :param source: the engine to copy cached prompt parts from, if any.
+        """
         now = trio.current_time()
         run.fetched_at = now
         if source is not None and not source.is_down:
@@ -101,7 +111,7 @@
         self._wake()
 
     def crash(self) -> None:
-        """Lose all requests and all that is cached."""
+        """Fail all requests, clear the cache and refuse connections."""
         self.is_down = True
         for run in [*self._waiting, *self._running]:
             self._fail_run(run)
@@ -111,11 +121,15 @@
         self.ordered_version = None
 
     def restart(self) -> None:
-        """Come back, empty."""
+        """Accept connections again, with an empty cache."""
         self.is_down = False
 
     def order_weights(self, version: int, *, cuts_runs: bool) -> None:
-        """Load a version once the runs have ended, or at once if they are cut."""
+        """Start loading a weights version as soon as no request waits or runs.
+
+        :param cuts_runs: fail the waiting and running requests instead of letting
+            them finish first.
+        """
         self.accepted_orders += 1
         self.ordered_version = version
         if cuts_runs:
@@ -126,11 +140,11 @@
         self._wake()
 
     def has_cached(self, salt: str, part: str) -> bool:
-        """Return whether a part is cached under a salt."""
+        """Return whether a prompt part is cached under a salt."""
         return (salt, part) in self._cache
 
     async def run(self) -> None:
-        """Work step by step."""
+        """Process requests and weight orders step by step until cancelled."""
         while True:
             now = trio.current_time()
             self._admit(now)
@@ -156,7 +170,10 @@
         return min(later, default=float("inf"))
 
     def _fetch(self, run: Run, source: EmulatedEngine, now: float) -> float:
-        """Copy the parts that the source has; return when they are here."""
+        """Copy the leading prompt parts that the source has cached.
+
+        :return: the time at which the copy is complete (seconds).
+        """
         tokens = 0
         for part in run.prompt.parts[:-1]:
             key = (run.salt, part.id)
@@ -188,7 +205,11 @@
             self._running.append(run)
 
     def _count_unread(self, run: Run) -> int:
-        """Return what is to be read, and keep it as cached from now on."""
+        """Return how many prompt tokens must be read; cache the shared parts.
+
+        A cached part after one that is not cached is read too, since a prefix cache
+        only serves an unbroken prefix.
+        """
         unread = run.prompt.parts[-1].tokens
         has_gap = False
         for part in run.prompt.parts[:-1]:
@@ -212,7 +233,7 @@
             self._cache.popitem(last=False)
 
     def _read_prompts(self) -> float:
-        """Read up to one piece of the prompts; return how long it takes."""
+        """Read up to one chunk of the prompts; return how long it takes (seconds)."""
         budget = self.shape.chunk_tokens
         for run in self._running:
             piece = min(budget, run.unread)
--- a/ashpond/emulator/scenarios.py
+++ b/ashpond/emulator/scenarios.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: engines, instances, clients, faults."""
+"""The settings of a simulation: engines, instances, clients, faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class Crash(NamedTuple):
-    """An engine is gone for a while, and back with nothing cached (seconds)."""
+    """A crash of an engine, which restarts later with an empty cache.
+
+    ``at`` and ``seconds`` are the start and the length of the outage (seconds),
+    ``engine`` is the index of the engine.
+    """
 
     at: float
     engine: int
@@ -19,7 +23,7 @@
 
 
 class StatementKind(StrEnum):
-    """What an engine says of itself in its answers."""
+    """The kind of directive that an engine sends in its answers."""
 
     LIMIT = "limit"
     BACKOFF = "backoff"
@@ -27,10 +31,11 @@
 
 
 class EngineStatement(NamedTuple):
-    """An engine says something of itself for a while (seconds).
+    """A directive that an engine sends with its answers for a period.
 
-    ``value`` is a rate limit in requests a second, or the backoff in seconds that it
-    asks for with each rejection; such an engine rejects all.
+    ``at`` and ``seconds`` are the start and the length of the period (seconds).
+    ``value`` is the rate limit in requests per second, or the backoff in seconds that
+    the engine asks for. An engine that asks for a backoff rejects every request.
     """
 
     at: float
@@ -43,9 +48,11 @@
 class RequestKind(NamedTuple):
     """One kind of request; times in seconds, sizes in tokens.
 
-    ``subjects`` share the first part of the prompt and have a second of their own.
-    ``late_share`` is what a late answer is worth; clients leave after ``patience``
-    without a first event.
+    The first prompt part (``common_tokens``) is the same in all requests of the kind,
+    the second (``subject_tokens``) in those with the same one of the ``subjects``, and
+    the third is the request's own, with ``own_tokens`` on average. A late answer is
+    worth ``late_share`` of ``worth``. Clients cancel a request that has no first event
+    after ``patience``.
     """
 
     name: str
@@ -67,10 +74,11 @@
 
 
 class Scenario(NamedTuple):
-    """One experiment; the same seed gives the same outcome.
+    """The settings of one simulation; the same seed gives the same outcomes.
 
-    New weights are named at ``versions_at``, and have to be in use ``bound_seconds``
-    later. ``news_seconds`` is how late instances hear of one another's work.
+    New weights versions become the target at ``versions_at`` and must be in use
+    ``bound_seconds`` later. Instances send each other updates every ``news_seconds``;
+    ``delay`` is the network delay one way. All are in seconds.
     """
 
     kinds: tuple[RequestKind, ...]
