--- a/ashpond/api/__init__.py
+++ b/ashpond/api/__init__.py
@@ -1,3 +1,3 @@
-"""The HTTP applications: one for callers, one for operators."""
+"""HTTP applications for clients and for operators."""
 
 from __future__ import annotations
--- a/ashpond/api/admin.py
+++ b/ashpond/api/admin.py
@@ -1,7 +1,7 @@
-"""The application that operators and the platform's probes talk to.
+"""HTTP application for operators and for the platform's probes.
 
-Besides the probes and the metrics, everything is behind the admin token. It
-can apply configurations and read; nothing here adjusts a running part.
+All paths except the probes and the metrics require the admin token. The application
+reports state and applies configurations; it changes no running component directly.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     metrics: Metrics,
     is_draining: trio.Event,
 ) -> Any:
-    """Return the application."""
+    """Return the ASGI application."""
     app = make_app("ashpond.admin", settings.limits.max_body_bytes)
 
     @app.before_request
@@ -137,7 +137,10 @@
 
 
 def read_apply(body: bytes) -> tuple[str, tuple[Any, int | None, str]]:
-    """Return what is wrong with an apply's body, and its files, base and id."""
+    """Parse the body of an apply request.
+
+    :returns: what is wrong with it, empty if nothing; and its files, base and id.
+    """
     nothing: tuple[Any, int | None, str] = ({}, None, "")
     try:
         value = orjson.loads(body)
@@ -159,7 +162,7 @@
 
 
 def describe_member(origin: str, body: dict[str, Any]) -> dict[str, Any]:
-    """Return what is shown of another instance."""
+    """Return the status entry of another instance."""
     return {
         "name": body.get("name", ""),
         "address": origin,
@@ -169,7 +172,7 @@
 
 
 def describe_server(state: ServerState) -> dict[str, Any]:
-    """Return what is shown of a backend server."""
+    """Return the status entry of a backend server."""
     report = state.report
     return {
         "name": state.name,
--- a/ashpond/api/callers.py
+++ b/ashpond/api/callers.py
@@ -1,4 +1,4 @@
-"""The application that callers talk to."""
+"""HTTP application for clients."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class CallerConnection(TrioASGIHTTPConnection):
-    """Frees what a call holds when its exchange ends, whichever way."""
+    """Connection that releases a call's resources when its exchange ends or fails."""
 
     async def __call__(self, receive: Any, send: Any) -> None:
         """Serve one exchange."""
@@ -56,9 +56,10 @@
     resume: ResumeForCaller,
     is_draining: trio.Event,
 ) -> Any:
-    """Return the application.
+    """Return the ASGI application.
 
-    ``chain`` answers the calls, ``resume`` those that return with a token.
+    :param chain: handler of new calls.
+    :param resume: handler of clients that resume a stream by its token.
     """
     app = make_app("ashpond.callers", settings.limits.max_body_bytes)
     app.asgi_http_class = CallerConnection
@@ -165,12 +166,12 @@
 
 
 def find_exits() -> AsyncExitStack:
-    """Return what is closed when the present exchange ends."""
+    """Return the exit stack that is closed when the current exchange ends."""
     scope = cast("dict[str, Any]", request.scope)
     exits: AsyncExitStack = scope[EXITS_KEY]
     return exits
 
 
 async def close_body(body: AsyncIterator[bytes]) -> None:
-    """End a streamed body that may not have been read to its end."""
+    """Close a streamed body that may not have been read completely."""
     await body.aclose()  # type: ignore[attr-defined]
--- a/ashpond/clients/__init__.py
+++ b/ashpond/clients/__init__.py
@@ -1,3 +1,3 @@
-"""One module for each protocol of the systems that ashpond talks to."""
+"""Clients for the protocols of peers, backend servers and the platform."""
 
 from __future__ import annotations
--- a/ashpond/clients/channels.py
+++ b/ashpond/clients/channels.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 connections to backend servers, one exchange at a time on each.
 
-``h11`` on plain trio streams, and not ``httpx``, because three things have to be
-seen that a pooled client hides: bytes that follow a complete answer, an answer
-that belongs to an earlier request, and an answer that comes before the request's
-body has been taken. A connection is used again only after none of them.
+Uses ``h11`` on trio streams, because the connection pool of ``httpx`` hides three
+conditions: bytes after a complete response, a response to an earlier request, and a
+response that arrives before the server has read the request's body. A connection on
+which one of them occurred is not reused.
 """
 
 from __future__ import annotations
@@ -32,20 +32,21 @@
 from ashpond.gateway.calls import Headers
 
 READ_BYTES = 65_536
-# Bodies up to this fit into a socket's buffer and are sent without a task.
+# Requests up to this size fit into a socket's buffer and are sent without a task.
 INLINE_BODY_BYTES = 16_384
-# A connection within a site is made in a few ms; a lost packet costs a second.
+# Connecting within a site takes a few ms; a lost packet is retransmitted after 1 s.
 CONNECT_SECONDS = 0.45
-# An idle connection is given up at this share of what the server allows.
+# Idle connections are closed after this share of the server's keep-alive timeout.
 IDLE_LIMIT_SHARE = 0.7
 DEFAULT_IDLE_SECONDS = 4.0
 MAX_STALE_ANSWERS = 3
 
 
 class ChannelError(AshpondError):
-    """An exchange failed; ``is_sent`` tells whether any byte may have left.
+    """Raised when an exchange fails.
 
-    ``is_refused`` tells that nobody listens at the server's address.
+    :param is_sent: whether any byte of the request may have been sent.
+    :param is_refused: whether the server's address refused the connection.
     """
 
     def __init__(self, reason: str, *, is_sent: bool, is_refused: bool = False):
@@ -55,7 +56,7 @@
 
 
 class ConnectResult(Enum):
-    """What an attempt to connect to a server shows."""
+    """Result of an attempt to connect to a server."""
 
     CONNECTED = auto()
     REFUSED = auto()
@@ -63,7 +64,10 @@
 
 
 class OutgoingRequest(NamedTuple):
-    """A request to send. ``answer_id`` is the header that has to echo its id."""
+    """A request to send.
+
+    ``id_header`` is the response header that has to repeat ``request_id``.
+    """
 
     method: str
     target: bytes
@@ -74,7 +78,7 @@
 
 
 class Response:
-    """An answer whose head has arrived; its body is read piece by piece."""
+    """A response whose head has arrived; its body is read piece by piece."""
 
     def __init__(self, channel: Channel, status: int, headers: Headers):
         self.channel = channel
@@ -84,14 +88,14 @@
     async def read(self) -> bytes:
         """Return the next piece of the body, empty at its complete end.
 
-        :raises ChannelError: if the answer breaks off.
+        :raises ChannelError: if the response is truncated.
         """
         return await self.channel.read_body()
 
     async def read_all(self, limit: int) -> bytes:
         """Return the whole body.
 
-        :raises ChannelError: if it breaks off or is longer than ``limit``.
+        :raises ChannelError: if it is truncated or longer than ``limit`` bytes.
         """
         pieces = []
         size = 0
@@ -104,7 +108,7 @@
 
 
 class Channel:
-    """One connection."""
+    """One HTTP/1.1 connection to a backend server."""
 
     def __init__(
         self,
@@ -121,7 +125,7 @@
         self._idle_since = 0.0
 
     async def exchange(self, request: OutgoingRequest) -> Response:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return the response once its head has arrived.
 
         :raises ChannelError: if the connection fails.
         """
@@ -144,7 +148,7 @@
     async def _exchange_while_sending(
         self, data: bytes, request: OutgoingRequest
     ) -> Response:
-        # A server may answer before it has taken the body: read while sending.
+        # A server may respond before it has read the body, so read while sending.
         answers: list[Response] = []
         failures: list[ChannelError] = []
 
@@ -153,7 +157,8 @@
                 await self._send(data)
                 self._is_request_sent = True
             except ChannelError:
-                # The answer, if there is one, says more; reading will tell.
+                # The server may have responded before it closed the connection: the
+                # task that reads returns that response or raises its own error.
                 return
 
         async def read_response_head(scope: trio.CancelScope) -> None:
@@ -192,14 +197,14 @@
         raise ChannelError("only answers to other requests came", is_sent=True)
 
     async def _skip_answer(self, request: OutgoingRequest) -> None:
-        """Read past an answer to an earlier request of this connection."""
+        """Discard a response to an earlier request of this connection."""
         while await self.read_body():
             pass
         if not self._is_request_sent or self._conn.our_state is not h11.DONE:
             raise ChannelError("an answer to another request came", is_sent=True)
         try:
             self._conn.start_next_cycle()
-            # The request is on its way already; h11 only has to expect an answer.
+            # The request has been sent; this only makes h11 expect another response.
             head = h11.Request(
                 method=request.method, target=request.target, headers=request.headers
             )
@@ -213,8 +218,9 @@
     async def read_body(self, *, shield_ready_data: bool = False) -> bytes:
         """Return the next piece of the body, empty at its complete end.
 
-        :param takes_ready: also take what is there when a deadline has passed.
-        :raises ChannelError: if the answer breaks off.
+        :param shield_ready_data: return data that has already arrived even if
+            the deadline has passed.
+        :raises ChannelError: if the response is truncated.
         """
         event = await self._next_event(shield_ready_data=shield_ready_data)
         if isinstance(event, h11.Data):
@@ -240,14 +246,15 @@
             raise ChannelError(f"reading failed: {error!r}", is_sent=True) from error
 
     async def _receive(self, *, shield_ready_data: bool) -> bytes:
-        # An event loop that was held up learns of a deadline and of the answer at
-        # once. What is there was there in time; taking it does not wait.
+        # After a delay of the event loop, a deadline and the response may be due in
+        # the same step. Reading data that has already arrived does not block.
         is_ready = self._stream.socket.is_readable()
         with trio.CancelScope(shield=is_ready and shield_ready_data):
             data = await self._stream.receive_some(READ_BYTES)
         last_read_at, self._read_at = self._read_at, self._clock()
-        # If this is the end, the server has been idle since it wrote it: what was
-        # there already may have come at any time since the last read.
+        # The server's idle timeout starts when it has written the end of the
+        # response. Data that was already there may have arrived at any time since
+        # the last read.
         self._idle_since = last_read_at if is_ready else self._read_at
         return bytes(data)
 
@@ -259,7 +266,7 @@
                     self._idle_seconds = seconds * IDLE_LIMIT_SHARE
 
     def prepare_reuse(self) -> bool:
-        """Prepare for another request; return whether that is possible."""
+        """Reset the connection for another request; return whether that is possible."""
         if not self._is_request_sent or self._conn.trailing_data != (b"", False):
             return False
         if self._conn.our_state is not h11.DONE:
@@ -270,18 +277,18 @@
         return True
 
     def start_idle_time(self) -> None:
-        """Count the time without a request from now on."""
+        """Start to measure the idle time."""
         self._idle_since = self._clock()
 
     def is_usable(self, now: float) -> bool:
-        """Return whether an idle connection may carry another request."""
+        """Return whether an idle connection can be reused."""
         if now - self._idle_since > self._idle_seconds:
             return False
-        # Anything to read now is an end, or bytes that belong to no request.
+        # Readable data is the end of the stream or bytes that belong to no request.
         return not self._stream.socket.is_readable()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection without waiting for pending data."""
         self._stream.socket.close()
 
 
@@ -303,7 +310,7 @@
 
 
 async def check_address(address: str) -> ConnectResult:
-    """Connect to see whether anybody listens at an address, and close again."""
+    """Connect to an address to check that a server listens there, and disconnect."""
     pool = ChannelPool()
     reach = await pool.check("", address)
     pool.close_idle("")
@@ -311,7 +318,7 @@
 
 
 class ChannelPool:
-    """Idle connections by backend server, the last used first."""
+    """Idle connections by backend server; the most recently used is reused first."""
 
     def __init__(self, clock: Callable[[], float] = trio.current_time):
         self._clock = clock
@@ -319,11 +326,11 @@
         self.opened = 0
 
     async def acquire(self, owner: str, address: str) -> Channel:
-        """Return a connection to ``address``, idle or new.
+        """Return an idle or a new connection to ``address``.
 
-        :param owner: whom the connection belongs to; an address may be given to
-            another server, whose connections must not be mixed up with these.
-        :raises ChannelError: if none can be made; nothing was sent.
+        :param owner: key of the server. An address may later be assigned to another
+            server, which must not get the connections of the former one.
+        :raises ChannelError: if connecting fails; nothing was sent.
         """
         idle = self._idle.get(owner, [])
         while idle:
@@ -354,7 +361,7 @@
         return Channel(trio.SocketStream(sock), self._clock)
 
     async def check(self, owner: str, address: str) -> ConnectResult:
-        """Connect anew to see whether a server lives; a connection is kept for use."""
+        """Open a connection to check that a server is up, and keep it for reuse."""
         try:
             channel = await self._connect(address)
         except ChannelError as error:
@@ -364,17 +371,17 @@
         return ConnectResult.CONNECTED
 
     def release(self, owner: str, channel: Channel) -> None:
-        """Take back a connection after a complete exchange."""
+        """Return a connection to the pool after a complete exchange."""
         if channel.prepare_reuse():
             self._idle.setdefault(owner, []).append(channel)
         else:
             channel.close()
 
     def count_idle(self, owner: str) -> int:
-        """Return how many idle connections there are to a server."""
+        """Return the number of idle connections to a server."""
         return len(self._idle.get(owner, ()))
 
     def close_idle(self, owner: str) -> None:
-        """Close the idle connections to a server that has gone."""
+        """Close the idle connections to a server that was removed."""
         for channel in self._idle.pop(owner, []):
             channel.close()
--- a/ashpond/clients/coordinator.py
+++ b/ashpond/clients/coordinator.py
@@ -1,4 +1,4 @@
-"""What an instance and the keeper of allowances say to each other, as typed values."""
+"""Encoding of the messages between an instance and an allowance coordinator."""
 
 from __future__ import annotations
 
@@ -25,16 +25,17 @@
 from ashpond.decisions.allowances import AllowanceUnit, TimeSpan
 from ashpond.errors import FrameError
 
-# A time on some process's clock; no other is added to an account (seconds).
+# A time on a process's monotonic clock. The bounds keep infinity and NaN out of
+# accounts.
 ClockSeconds = Annotated[float, Meta(ge=-float(MAX_NUMBER), le=float(MAX_NUMBER))]
 
 
 class AllowanceRequest(NamedTuple):
-    """One request of a client that needs its team's allowance.
+    """A client request that needs part of its team's allowance.
 
-    ``number`` names it on its connection; ``rate`` and ``burst`` are the limit by the
-    configuration ``version``, the newest that the asker knows. ``patience`` is in
-    seconds.
+    ``number`` identifies it on its connection. ``rate`` and ``burst`` are the limit in
+    configuration ``version``, the newest one known to the sending instance. ``timeout``
+    is how long the client waits, in seconds.
     """
 
     number: Count
@@ -49,7 +50,7 @@
 
 
 class ReturnedAllowance(NamedTuple):
-    """What was granted to a request that has not run."""
+    """A grant that is given back because its request did not run."""
 
     team: str
     unit: AllowanceUnit
@@ -57,7 +58,11 @@
 
 
 class AllowanceDecision(NamedTuple):
-    """The keeper's answer to one request; fields are as in its decisions."""
+    """The coordinator's decision on one request.
+
+    ``left`` is the remaining allowance of the team, ``share`` the coordinator's share
+    of the fleet's accrued time.
+    """
 
     number: Count
     is_granted: bool
@@ -67,7 +72,8 @@
 
 
 class _StoredTimeSpan(NamedTuple):
-    # A keeper that has just started shows less than what was earned before.
+    # Starts may be negative: a coordinator's clock that has just started shows less
+    # than the time accrued before.
     begin: ClockSeconds
     end: ClockSeconds
 
@@ -82,7 +88,7 @@
     *,
     wants_time: bool = False,
 ) -> AllowanceQuery:
-    """Return the message that asks a keeper, or only hands it time."""
+    """Return the message that requests allowances or only transfers accrued time."""
     return AllowanceQuery(
         sender,
         hash_slots,
@@ -97,44 +103,44 @@
 def decode_query(
     message: AllowanceQuery,
 ) -> tuple[list[AllowanceRequest], list[ReturnedAllowance]]:
-    """Return the requests of a message, and what it gives back.
+    """Return the requests and the returned allowances of a message.
 
-    :raises FrameError: if it makes no sense.
+    :raises FrameError: if a field is not valid.
     """
     try:
         requests = convert_list(message.requests, AllowanceRequest)
         return requests, convert_list(message.returned, ReturnedAllowance)
     except ValueError as error:
-        raise FrameError(f"an ask that makes no sense: {error!r}") from error
+        raise FrameError(f"invalid allowance query: {error!r}") from error
 
 
 def decode_accrued_time(message: AllowanceQuery) -> TimeSpan | None:
-    """Return the time that a message hands over, on the keeper's clock.
+    """Return the accrued time that a message transfers, on the coordinator's clock.
 
-    :raises FrameError: if it makes no sense.
+    :raises FrameError: if it is not valid.
     """
     if not message.accrued:
         return None
     try:
         return TimeSpan(*msgspec.convert(message.accrued, _StoredTimeSpan))
     except ValueError as error:
-        raise FrameError(f"time that makes no sense: {error!r}") from error
+        raise FrameError(f"invalid accrued time: {error!r}") from error
 
 
 def encode_answer(
     now: float, decisions: Sequence[AllowanceDecision] = ()
 ) -> AllowanceAnswer:
-    """Return the message that answers an ask."""
+    """Return the message that answers a query."""
     return AllowanceAnswer(now, [list(decision) for decision in decisions])
 
 
 def decode_answer(message: AllowanceAnswer) -> list[AllowanceDecision]:
-    """Return a keeper's verdicts.
+    """Return a coordinator's decisions.
 
-    :raises FrameError: if they, or its clock, make no sense.
+    :raises FrameError: if a decision or the time of the clock is not valid.
     """
     try:
         msgspec.convert(message.now, ClockSeconds)
         return convert_list(message.answers, AllowanceDecision)
     except ValueError as error:
-        raise FrameError(f"an answer that makes no sense: {error!r}") from error
+        raise FrameError(f"invalid allowance answer: {error!r}") from error
--- a/ashpond/clients/engine.py
+++ b/ashpond/clients/engine.py
@@ -46,8 +46,8 @@
 class EngineRequest(NamedTuple):
     """One attempt of a completion.
 
-    ``after`` is the last event already had; ``stall_seconds`` is how long the
-    engine may send nothing.
+    ``after`` is the number of the last event received; ``stall_seconds`` is the idle
+    timeout of the response.
     """
 
     path: str
@@ -61,9 +61,9 @@
 
 
 class EngineAnswer(NamedTuple):
-    """An engine's response whose head has come; the body is still to be read.
+    """An engine's response whose head has arrived; the body has not been read.
 
-    ``cached_blocks`` is ``None`` where the engine did not say.
+    ``cached_blocks`` is ``None`` if the engine did not report it.
     """
 
     address: str
@@ -76,7 +76,7 @@
 
 
 class StreamEvent(NamedTuple):
-    """One server-sent event as it came, with its blank line."""
+    """One server-sent event as received, with the blank line that ends it."""
 
     number: int
     data: bytes
@@ -84,7 +84,7 @@
 
 
 class CacheEvents(NamedTuple):
-    """A batch of cache events of one incarnation: first and last number."""
+    """A batch of cache events of one incarnation, with its first and last number."""
 
     incarnation: str
     first: int
@@ -102,7 +102,7 @@
 
 
 class Order(NamedTuple):
-    """An order to an engine. It names its target state, so it is idempotent."""
+    """An order to an engine; idempotent, because it names the target state."""
 
     kind: str
     fence: int
@@ -111,7 +111,7 @@
 
 
 class OrderOutcome(Enum):
-    """How an engine took an order."""
+    """Result of an order to an engine."""
 
     TAKEN = "taken"
     FENCED_OUT = "fenced_out"
@@ -141,7 +141,7 @@
 
 
 def make_idle_timeout(client: httpx.AsyncClient, seconds: float) -> httpx.Timeout:
-    """Return the client's time limits with another bound on silence."""
+    """Return the client's timeouts with another idle timeout."""
     base = client.timeout
     return httpx.Timeout(seconds, connect=base.connect, pool=base.pool)
 
@@ -149,7 +149,7 @@
 async def resume_stream(
     client: httpx.AsyncClient, address: str, stream: str, after: int, attempt: str
 ) -> Answered | NotRun | MaybeRun:
-    """Ask the same engine for the rest of a stream."""
+    """Request the events of a stream after ``after`` from the same engine."""
     url = f"http://{address}/v1/streams/{stream}?after={after}"
     http_request = client.build_request("GET", url, headers={ATTEMPT_HEADER: attempt})
     return await _send(client, http_request, address, attempt)
@@ -172,7 +172,7 @@
         await response.aclose()
         return MaybeRun(f"failed with status {status}", read_backoff(response))
     if status == OK and response.headers.get(ATTEMPT_HEADER) != attempt:
-        # Another request's answer: its connection is of no more use.
+        # This is the response to another request: close the connection.
         await response.aclose()
         return MaybeRun("the answer belongs to another request")
     return Answered(_read_head(address, response))
@@ -195,7 +195,7 @@
 async def read_event_batches(
     response: httpx.Response,
 ) -> AsyncIterator[list[StreamEvent]]:
-    """Yield the whole events of each chunk that arrives, none held back.
+    """Yield the complete events of each chunk as soon as it arrives.
 
     :raises httpx.HTTPError: if the connection is cut.
     """
@@ -217,11 +217,11 @@
 
 
 async def cancel_stream(client: httpx.AsyncClient, address: str, stream: str) -> None:
-    """Tell an engine that nobody waits for a stream any more."""
+    """Cancel a stream that no client reads any more."""
     try:
         await client.delete(f"http://{address}/v1/streams/{stream}")
     except httpx.HTTPError:
-        # The engine drops unread streams by itself in time.
+        # The engine itself drops unread streams after a while.
         return
 
 
@@ -230,10 +230,10 @@
 ) -> AsyncGenerator[FeedLine, None]:
     """Yield an engine's load reports and cache events as it sends them.
 
-    One connection for both costs a tenth of asking for each again and again.
-    The iterator ends when the engine does, or falls silent.
+    One connection for both costs a tenth of polling each. The iterator ends when the
+    engine closes the connection or the idle timeout expires.
 
-    :param after: number of the last cache event already had.
+    :param after: number of the last cache event received.
     """
     url = f"http://{address}/feed?after={after}"
     try:
@@ -271,7 +271,7 @@
 
 
 def merge_events(events: list[dict[str, Any]]) -> CacheEvents | None:
-    """Return one batch that has the effect of all events in order."""
+    """Return one batch with the same effect as all events in order."""
     if not events:
         return None
     stored_by_block: dict[int, bool] = {}
@@ -289,7 +289,7 @@
 async def send_order(
     client: httpx.AsyncClient, address: str, order: Order
 ) -> OrderOutcome:
-    """Send an order with its fencing number."""
+    """Send an order; the engine rejects it if its fencing number is too old."""
     try:
         url = f"http://{address}/orders"
         response = await client.post(url, content=orjson.dumps(order._asdict()))
--- a/ashpond/clients/fields.py
+++ b/ashpond/clients/fields.py
@@ -1,4 +1,4 @@
-"""Check the tuples that a message between instances holds, field by field."""
+"""Conversion of the lists in peer messages to checked named tuples."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def convert_table(values: dict[str, Any], kind: type[T]) -> dict[str, T]:
-    """Return the tuples that a message holds by name, each of them whole.
+    """Convert a dictionary of lists to named tuples of type ``kind``.
 
-    :raises ValueError: if one has other fields.
+    :raises ValueError: if a list has missing, additional or mistyped fields.
     """
     found = msgspec.convert(values, dict[str, kind])  # type: ignore[valid-type]
     _check_lengths(values.values(), kind)
@@ -23,11 +23,11 @@
 
 
 def convert_list(values: list[Any], kind: type[T]) -> list[T]:
-    """Return the tuples that a message holds, each of them whole.
+    """Convert a list of lists to named tuples of type ``kind``.
 
-    :raises ValueError: if one has other fields.
+    :raises ValueError: if a list has missing, additional or mistyped fields.
     """
-    # Bytes are bytes in a message: a text in their place would be read as base64.
+    # Without ``builtin_types``, msgspec would decode a string as base64 bytes.
     found = msgspec.convert(
         values,
         list[kind],  # type: ignore[valid-type]
@@ -38,7 +38,7 @@
 
 
 def _check_lengths(values: Iterable[Any], kind: type[T]) -> None:
-    # Defaults are for those that build a value; a message names all its fields.
+    # msgspec fills missing fields with defaults, but a message must hold every field.
     length = len(kind._fields)  # type: ignore[attr-defined]
     if any(len(value) != length for value in values):
         raise ValueError(f"not the fields of a {kind.__name__}")
--- a/ashpond/clients/http.py
+++ b/ashpond/clients/http.py
@@ -1,4 +1,4 @@
-"""HTTP clients that sort failures by whether the request may have left."""
+"""HTTP clients, and the errors after which a request was certainly not sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ashpond import __version__
 from ashpond.clients.retryafter import REJECTIONS, parse_retry_after
 
-# With these, no byte of the request has reached the other side.
+# After these errors, no byte of the request has reached the server.
 NOT_SENT_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
@@ -23,7 +23,7 @@
 
 
 def read_backoff(response: httpx.Response) -> float | None:
-    """Return for how long a server that rejects a request wants none (seconds)."""
+    """Return the backoff that a rejecting server requests, in seconds."""
     if response.status_code not in REJECTIONS:
         return None
     texts = response.headers.get_list("Retry-After")
@@ -34,10 +34,10 @@
 def make_client(
     connect_timeout: float, answer_timeout: float, *, keep_alive: bool = True
 ) -> httpx.AsyncClient:
-    """Return a client for many servers.
+    """Return an HTTP client for many servers.
 
-    :param keep_alive: without it, each request has a connection of its own, so
-        that a connection closed while idle cannot look like a lost request.
+    :param keep_alive: whether connections are reused. Without it, the server's close
+        of an idle connection cannot be mistaken for a lost request.
     """
     timeout = httpx.Timeout(
         answer_timeout, connect=connect_timeout, pool=connect_timeout
@@ -47,8 +47,8 @@
         max_keepalive_connections=MAX_CONNECTIONS if keep_alive else 0,
         keepalive_expiry=IDLE_SECONDS,
     )
-    # All addresses are plain HTTP. A context without certificates fails closed
-    # and saves reading some hundred of them.
+    # All addresses are plain HTTP. A context without CA certificates rejects any TLS
+    # server, and saves loading some hundred certificates.
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     return httpx.AsyncClient(
         verify=context,
--- a/ashpond/clients/liveness.py
+++ b/ashpond/clients/liveness.py
@@ -1,4 +1,4 @@
-"""Have the kernel notice a connection whose other side has fallen silent."""
+"""TCP options with which the kernel detects peers that no longer respond."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 if TYPE_CHECKING:
     import trio
 
-# Unacknowledged data for so long means that the other side is gone (ms).
+# A connection is closed when sent data stays unacknowledged for so long.
 UNACKNOWLEDGED_MS = 1500
-# The least that the kernel knows (seconds).
+# The shortest interval that the kernel supports.
 KEEPALIVE_SECONDS = 1
 
 
 def enable_dead_peer_detection(sock: trio.socket.SocketType) -> None:
-    """Break a connection that brings no acknowledgement, also while nothing is sent.
+    """Have the kernel close a connection whose peer stops acknowledging, also if idle.
 
-    A partition, a machine without power and a path that has gone silent for this
-    connection alone send no reset; without this, both sides would wait on.
+    A network partition, a power failure and a path that drops only this connection's
+    packets cause no reset: without these options both sides would wait forever.
     """
     for option, value in (
         (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
--- a/ashpond/clients/peer.py
+++ b/ashpond/clients/peer.py
@@ -1,9 +1,8 @@
 """The protocol between instances: authenticated msgpack frames over TCP.
 
-A frame is a 4-byte length and a msgpack list ``[kind, body]``. Both sides open
-with a hello that carries the protocol version and a nonce, and prove by a
-keyed digest over both nonces that they know the shared secret. Nothing else is
-read before that proof.
+A frame is a 4-byte length and a msgpack list ``[kind, fields]``. Each side first sends
+a hello with the protocol version and a nonce, then an HMAC over both nonces that proves
+that it knows the shared secret. Nothing else is read before that proof.
 """
 
 from __future__ import annotations
@@ -55,32 +54,32 @@
 
 
 class Facts(NamedTuple):
-    """Facts as lists of (origin, epoch, sequence, body)."""
+    """Membership facts as lists of [origin, epoch, sequence, body]."""
 
     sender: str
     facts: list[Any]
 
 
 class AttemptQuery(NamedTuple):
-    """Ask the owner of an attempt whether it was or will be sent."""
+    """Query whether an attempt was sent, to the instance that owns it."""
 
     attempt: str
 
 
 class AttemptAnswer(NamedTuple):
-    """The owner's answer: never, sent or unknown."""
+    """The owner's answer; ``state`` is ``never``, ``sent`` or ``unknown``."""
 
     state: str
 
 
 class ConfigRequest(NamedTuple):
-    """Ask for the configuration that the peer runs, if above ``above``."""
+    """Request the peer's configuration if its generation is above ``above``."""
 
     above: int
 
 
 class ConfigAnswer(NamedTuple):
-    """A generation, its file contents by name, and the head's apply ids."""
+    """A configuration generation: its files by name, and the head's apply ids."""
 
     generation: int
     files: dict[str, str]
@@ -88,28 +87,28 @@
 
 
 class CacheRequest(NamedTuple):
-    """Ask for the peer's learned view of what engines have cached."""
+    """Request the peer's view of the blocks that engines have cached."""
 
     limit: int
 
 
 class CacheAnswer(NamedTuple):
-    """For each backend server: its incarnation and its blocks."""
+    """Incarnation and cached blocks of each backend server."""
 
     views: dict[str, Any]
 
 
 class PeerUpdate(NamedTuple):
-    """What an instance tells of the backend servers while it serves routed calls.
-
-    ``scope`` says whose work it is, ``group`` names the group of a hub that tells
-    that of all its members. ``loads`` maps server ids to [requests, unread tokens,
-    held tokens, requests that cannot move]; ``notices`` are lists of [server id,
-    model, version, seconds without work, whether it could not be reached, start,
-    rate limit as nil or [requests a second or nil, age in seconds], whether it leaves],
-    ``holdings`` of [server id, salt, prompt part, start]; ``sends`` maps services to
-    [first sends, repeated sends] within the window of the budget. ``sender`` names one
-    life of an instance.
+    """Periodic update of an instance on the state of the backend servers.
+
+    ``scope`` says which instances' load is reported; ``group`` is the group of a hub
+    that reports the load of all its members. ``loads`` maps server ids to [requests,
+    unread tokens, held tokens, requests that cannot move]. ``notices`` are lists of
+    [server id, model, version, seconds without work, whether it could not be reached,
+    start, rate limit as nil or [requests a second or nil, age in seconds], whether it
+    leaves]; ``cache_entries`` of [server id, salt, prompt part, start]. ``attempts``
+    maps services to [first attempts, retries] within the window of the retry budget.
+    ``sender`` identifies one incarnation of an instance.
     """
 
     sender: str
@@ -122,7 +121,7 @@
 
 
 class Notices(NamedTuple):
-    """What cannot wait for the next :class:`News`; fields are as there."""
+    """Notices sent before the next :class:`PeerUpdate`, with the same fields."""
 
     sender: str
     scope: str
@@ -130,11 +129,11 @@
 
 
 class CrashReport(NamedTuple):
-    """Which requests were in flight when servers ended.
+    """Requests that were in flight when servers crashed.
 
-    ``scope`` is as in :class:`News`; ``ends`` are lists of [fingerprint of the request,
-    server id, start, when the request was sent and when it was lost on the store's
-    clock in seconds, whether the request is not the cause].
+    ``scope`` is as in :class:`PeerUpdate`; ``crashes`` are lists of [fingerprint of the
+    request, server id, start, when the request was sent and when it was lost on the
+    store's clock in seconds, whether the request is not the cause].
     """
 
     sender: str
@@ -143,12 +142,12 @@
 
 
 class TableChanges(NamedTuple):
-    """What a reader of the platform's store has learned of one table.
+    """Changes of one table of the platform's store, from the instance that reads it.
 
-    ``scope`` is as in :class:`News`; ``rows`` are lists of [key, value or nil,
-    version], all changes from version ``after`` to ``version``, or all rows there are
-    with ``is_whole``; ``store_time`` is the store's steady clock at its answer
-    (seconds), ``era`` that of its data, -1 if it tells none.
+    ``scope`` is as in :class:`PeerUpdate`. ``rows`` are lists of [key, value or nil,
+    version]: all changes from version ``after`` to ``version``, or with ``is_whole``
+    the complete table. ``store_time`` is the store's monotonic clock at its answer, in
+    seconds; ``era`` is the era of its data, -1 if the store reports none.
     """
 
     sender: str
@@ -163,13 +162,13 @@
 
 
 class AllowanceQuery(NamedTuple):
-    """Ask the keeper of some teams for allowances, and hand it time that was earned.
+    """Request allowances from the coordinator of some teams, and send it accrued time.
 
-    ``slot`` of ``slots`` names the teams. ``earned`` is empty, or [begin, end] on the
-    keeper's clock as far as the sender knows it (seconds); ``wants_time`` asks for that
-    clock. ``asks`` are lists of [number, configuration's version, team, unit, rate a
-    second, burst, cost, urgency, the client's patience in seconds], ``returned`` of
-    [team, unit, cost].
+    ``hash_slot`` of ``hash_slots`` selects the teams. ``accrued`` is empty, or [begin,
+    end] in seconds on the coordinator's clock as the sender estimates it;
+    ``wants_time`` requests the time of that clock. ``requests`` are lists of [number,
+    version of the configuration, team, unit, rate a second, burst, cost, urgency, the
+    client's timeout in seconds], ``returned`` of [team, unit, cost].
     """
 
     sender: str
@@ -182,10 +181,10 @@
 
 
 class AllowanceAnswer(NamedTuple):
-    """The keeper's answers, and its clock in seconds.
+    """The coordinator's decisions, and the time of its clock in seconds.
 
-    ``answers`` are lists of [number, whether it is granted, when to come back in
-    seconds or nil, what the team has left, the keeper's share of the fleet's time].
+    ``answers`` are lists of [number, whether it is granted, seconds until a retry or
+    nil, remaining allowance of the team, the coordinator's share of the fleet's time].
     """
 
     now: float
@@ -246,9 +245,10 @@
         await trio.aclose_forcefully(self._stream)
 
     async def authenticate(self, *, is_server: bool) -> None:
-        """Prove the shared secret to each other.
+        """Authenticate both sides by the shared secret.
 
-        :raises FrameError: if the peer cannot, or speaks another version.
+        :raises FrameError: if the peer does not know it, does not finish in time or
+            uses another protocol version.
         """
         with trio.move_on_after(HANDSHAKE_SECONDS) as scope:
             await self._perform_handshake(is_server)
@@ -310,7 +310,7 @@
         return unpack_value(packed)
 
     def _take_frame(self, limit: int) -> bytes | None:
-        """Return the content of a frame that is there whole, else None.
+        """Return the content of the next complete frame, ``None`` if it is incomplete.
 
         :raises FrameError: if it is too large.
         """
@@ -385,7 +385,7 @@
 async def query_peer(
     address: str, message: PeerMessage, *, secret: str, max_frame: int, timeout: float
 ) -> PeerMessage | Unavailable:
-    """Send one question over a connection of its own; return the answer."""
+    """Send one message over a new connection and return the answer."""
     with trio.move_on_after(timeout):
         try:
             stream = await connect_peer(address, secret, max_frame)
--- a/ashpond/clients/platform.py
+++ b/ashpond/clients/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: tables, objects, and the list of instances.
+"""The platform's protocol: tables, objects, and the list of members.
 
 This module alone knows its wire format; another platform replaces it.
 """
@@ -31,7 +31,7 @@
 class Put(NamedTuple):
     """A conditional write: the row must have ``version``, or 0 for none.
 
-    ``ttl`` is how many seconds the platform keeps the row; 0 means for ever.
+    ``ttl`` is how many seconds the platform keeps the row; 0 means without limit.
     """
 
     key: str
@@ -41,7 +41,7 @@
 
 
 class MemberKind(StrEnum):
-    """What the platform's list holds."""
+    """Kinds of members in the platform's list."""
 
     INSTANCE = "instance"
     BACKEND_SERVER = "backend_server"
@@ -56,10 +56,10 @@
 
 
 class PlatformClient:
-    """Calls the platform; counts reads and writes.
+    """Client of the platform that counts reads and writes.
 
-    A read answers ``Done``, ``Unavailable`` or ``Unknown``. A write may also
-    answer ``Conflict``; ``Unknown`` means that it may take effect even later.
+    A read returns ``Done``, ``Unavailable`` or ``Unknown``. A write may also return
+    ``Conflict``; ``Unknown`` means that it may still take effect later.
     """
 
     def __init__(self, address: str, timeout: float):
@@ -103,14 +103,14 @@
         return await self._read(f"/objects/{key}")
 
     async def list_objects(self, prefix: str) -> Done | Unavailable | Unknown:
-        """List keys; ``Done`` holds them."""
+        """List the keys that begin with ``prefix``; ``Done`` holds them."""
         outcome = await self._read("/objects", {"prefix": prefix})
         if isinstance(outcome, Done):
             return Done(orjson.loads(outcome.value))
         return outcome
 
     async def put_object(self, key: str, value: bytes) -> StoreOutcome:
-        """Write one object; the same bytes may be written again."""
+        """Write one object; writing the same bytes again is safe."""
         self.writes += 1
         try:
             url = f"{self._base}/objects/{key}"
@@ -124,7 +124,7 @@
         return Unknown(f"status {response.status_code}")
 
     async def list_members(self) -> Done | Unavailable | Unknown:
-        """Read the lagging list; ``Done`` holds a list of :class:`Member`."""
+        """Read the member list, which lags; ``Done`` holds :class:`Member` tuples."""
         outcome = await self._read("/instances")
         if not isinstance(outcome, Done):
             return outcome
--- a/ashpond/clients/retryafter.py
+++ b/ashpond/clients/retryafter.py
@@ -1,4 +1,4 @@
-"""The time to come back that an HTTP answer names (RFC 9110, section 10.2.3)."""
+"""Parsing of the ``Retry-After`` header (RFC 9110, section 10.2.3)."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from datetime import UTC, datetime
 from email.utils import parsedate_to_datetime
 
-# Statuses whose time is for the sender; in others it is for the client.
+# With these statuses, ``Retry-After`` is for the router; with others, the client.
 REJECTIONS = (429, 503)
-# ``float`` takes more than a header may hold: names, exponents, underscores.
+# ``float`` also accepts names such as ``nan``, exponents and underscores.
 DECIMAL = re.compile(r"[0-9]{1,18}(\.[0-9]{0,18})?|\.[0-9]{1,18}")
 
 
 def parse_retry_after(
     texts: Sequence[str], date: str | None
 ) -> tuple[float | None, bool]:
-    """Return the longest time in seconds, and whether any value is malformed.
+    """Return the longest delay in seconds, and whether any value is malformed.
 
-    :param texts: the values, each in seconds, with a fraction or not, or a date.
-    :param date: when the answer was made, as its own header says.
+    :param texts: the header's values: decimal seconds or HTTP dates.
+    :param date: the response's ``Date`` header, relative to which dates are read.
     """
     times = [_parse_delay(text.strip(), date) for text in texts]
     known = [seconds for seconds in times if seconds is not None]
--- a/ashpond/clients/service.py
+++ b/ashpond/clients/service.py
@@ -1,4 +1,4 @@
-"""The plain services' protocol: any HTTP call, with an attempt id."""
+"""The protocol of plain services: any HTTP request, with an attempt id."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class PlainAnswer(NamedTuple):
-    """The whole answer of a plain service."""
+    """The complete response of a plain service."""
 
     status: int
     headers: dict[str, str]
@@ -94,7 +94,7 @@
 
 
 def keep_end_to_end(headers: dict[str, str]) -> dict[str, str]:
-    """Return the headers that travel from end to end."""
+    """Return the end-to-end headers."""
     return {
         name: value
         for name, value in headers.items()
@@ -103,7 +103,7 @@
 
 
 async def fetch_draining(client: httpx.AsyncClient, address: str) -> bool | None:
-    """Return whether a plain server says that it leaves, ``None`` if silent."""
+    """Return whether a plain server is draining, ``None`` if it does not answer."""
     try:
         response = await client.get(f"http://{address}/load")
         return bool(orjson.loads(response.content).get("draining"))
