--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -1,4 +1,4 @@
-"""Orders, reports and cache events as the engines' protocol has them."""
+"""Tests of weight orders, state reports and cache events in the engines' protocol."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Engine:
-    """Answers every call with the same status and body, and keeps the requests."""
+    """A server that gives every call the same answer and records the requests."""
 
     def __init__(self, status: int, body: object = None):
         self.status = status
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, as the product's types and back."""
+"""Tests of decoding and writing the platform's request and answer headers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     (b"Authorization", b"Token secret"),
     (b"X-Own", b"kept"),
 ]
-# What the router sets itself; a client's value must never reach a server.
+# Headers that the router sets itself; a client's value must never reach a server.
 SET_BY_ROUTER = [
     b"X-Tenant",
     b"X-Expect-Instance",
@@ -111,14 +111,21 @@
 
 @pytest.mark.parametrize("text", ["\u00b2", "9" * 30, "-1", "", "1.0", "9" * 5000])
 def test_a_version_that_is_no_number_of_64_bits_is_ignored(text: str) -> None:
-    """A superscript two counts as a digit, and ended the instance that read it."""
+    """``str.isdigit`` accepts a superscript two, but ``int`` raises an error for it.
+
+    An instance that did not check for this crashed on such a header.
+    """
     answer = read_answer_headers([(b"x-weight-versions", text.encode("latin-1"))])
     assert answer.weights_version is None
 
 
 @pytest.mark.parametrize("counts", ["9" * 30 + ",1", "-5,1", "1,-5", "9" * 4000 + ",1"])
 def test_impossible_token_counts_are_ignored(counts: str) -> None:
-    """A client's 30 digits ended the log and the news of its instance, and so it."""
+    """A number of 30 digits does not fit in the 64 bits of logs and messages.
+
+    If it is accepted, writing the log and the updates to other instances fails, and
+    the instance crashes.
+    """
     headers = [(b"x-request-id", b"i"), (b"x-model", b"m")]
     headers.append((b"x-token-counts", counts.encode()))
     envelope = read_envelope(headers)
@@ -188,7 +195,7 @@
 def test_a_servers_rate_limit_is_a_decimal_number_or_invalid(
     values: list[bytes], expected: tuple[float | None, bool]
 ) -> None:
-    """Of several the lowest counts."""
+    """Of several values, the lowest applies."""
     answer = read_answer_headers([(b"server-limit", value) for value in values])
     assert (answer.rate_limit, answer.is_limit_invalid) == expected
 
@@ -238,7 +245,7 @@
 def test_retry_after_is_in_seconds_or_a_date(
     values: list[bytes], expected: tuple[float | None, bool]
 ) -> None:
-    """Of several the longest counts."""
+    """Of several values, the longest applies."""
     answer = read_answer_headers([DATE, *((b"Retry-After", value) for value in values)])
     assert (answer.backoff, answer.is_backoff_invalid) == expected
 
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The program itself, as a process of its own, against a stand-in for the store."""
+"""Tests of the program as a separate process, with an in-memory store."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_rows.py
+++ b/tests/test_platform_rows.py
@@ -1,4 +1,4 @@
-"""The rows of operator and servers, as the product's types."""
+"""Tests of decoding the rows of the operator and of the backend servers."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against a stand-in that speaks its protocol."""
+"""Tests of the store client against an in-memory store with the same protocol."""
 
 from __future__ import annotations
 
