--- a/ashpond/emulator/experiments.py
+++ b/ashpond/emulator/experiments.py
@@ -1,4 +1,4 @@
-"""Run an experiment file: scenarios over seeds, and what callers got of each."""
+"""Experiment files: loading, running and reporting of scenarios."""
 
 from __future__ import annotations
 
@@ -22,18 +22,21 @@
 from ashpond.errors import InputError, InputProblem
 from ashpond.tables import load_toml
 
-# Worth is looked at by spans of the asking time; the two worst count (seconds).
+# Requests are grouped by when they were first sent, in spans of this length
+# (seconds); the worst spans give ``Figures.worst``.
 SPAN_SECONDS = 2.0
 WORST_SPANS = 2
-# A mean of few runs: its interval is about twice its standard error wide.
+# The interval of a mean over few runs is this many standard errors to each side.
 INTERVAL_STANDARD_ERRORS = 2.0
 
 
 class Figures(NamedTuple):
-    """What callers got in one run, as shares.
+    """The results of one run, as shares.
 
-    ``worth`` is what was earned of all that was asked, ``worst`` the same in the
-    worst seconds; ``paused`` answers had a pause over their limit.
+    ``worth`` is the worth earned, of the worth of all requests; ``worst`` is the mean
+    of the same share in the worst spans. The others are shares of all requests:
+    answered late, not served, answered with a pause over the limit, and answered on
+    stale weights.
     """
 
     worth: float
@@ -45,7 +48,7 @@
 
 
 class Experiment(NamedTuple):
-    """Scenarios by name, each played with the same seeds."""
+    """Scenarios by name, and how many seeds each is run with."""
 
     seeds: int
     scenarios: dict[str, Scenario]
@@ -73,7 +76,7 @@
 def load_experiment(path: str) -> Experiment:
     """Read and check an experiment file.
 
-    :raises InputError: naming file, key and reason of the first fault.
+    :raises InputError: with the file, key and reason of the first invalid entry.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -113,7 +116,12 @@
 
 
 def _build_tuple(path: str, key: str, table: dict[str, Any], target_type: Any) -> Any:
-    """Return a typed value; fields that the file leaves out have their defaults."""
+    """Return ``table`` as a named tuple of the type ``target_type``.
+
+    Fields that the file does not set get their defaults.
+
+    :raises InputError: if a key is unknown, or a required one is missing.
+    """
     unknown = [field for field in table if field not in target_type._fields]
     if unknown:
         problem = InputProblem(path, f"{key}.{unknown[0]}", "", "unknown key")
@@ -151,7 +159,7 @@
 
 
 def measure(scenario: Scenario) -> Figures:
-    """Play a scenario; return what callers got."""
+    """Run a scenario in virtual time; return its results."""
     outcomes = run_scenario(scenario)
     count = max(1, len(outcomes))
     spans: dict[int, list[Outcome]] = {}
@@ -178,7 +186,10 @@
 
 
 def render_table(results: dict[str, list[Figures]]) -> str:
-    """Return a row a scenario: means over the seeds, with the interval of the worth."""
+    """Return a table with a row per scenario.
+
+    Its columns are means over the seeds, and the interval of the worth.
+    """
     head = "".join(f"{field:>10}" for field in Figures._fields)
     lines = [f"{'scenario':20} {'seeds':>5}{head}  interval of worth"]
     for name, figures in results.items():
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -1,4 +1,4 @@
-"""One emulated instance: the real decisions, without sockets."""
+"""One emulated instance: the real gateway and controllers without sockets."""
 
 from __future__ import annotations
 
@@ -51,21 +51,27 @@
 
 SERVICE = "engines"
 MODEL = "m"
-# Instances and engines are spread over so many failure domains.
+# The number of failure domains that instances and engines are spread over.
 FAILURE_DOMAINS = 4
 MAX_CONNECTIONS = 400
-# Each instance has a budget of its own: a share, and a slack in a window (seconds).
+# Each instance has its own retry budget: a share of the first attempts and a fixed
+# slack, in a sliding window (seconds).
 RETRY_SHARE = 0.2
 RETRY_SLACK = 56.0
 RETRY_WINDOW = 10.0
 LEASE_SECONDS = 3.0
 QUARANTINE_SECONDS = 600.0
-# The share of the bound at which older weights are left, as the application has it.
+# Older weights are no longer used after this share of the bound, as in
+# :mod:`ashpond.gateway.application`.
 REQUIRED_SHARE = 0.85
 
 
 class InstanceEnvironment(NamedTuple):
-    """What an instance meets; ``tell`` and ``announce`` reach the other instances."""
+    """What an emulated instance uses and shares with the other instances.
+
+    ``report_entries`` sends cache entries to the other instances with the next update,
+    ``announce`` sends a notice at once.
+    """
 
     scenario: Scenario
     engines: dict[str, EmulatedEngine]
@@ -77,7 +83,7 @@
 
 
 class EmulatedInstance(NamedTuple):
-    """The parts of one instance that the world looks into."""
+    """The components of one instance that the simulation accesses."""
 
     table: ServerTable
     cache_index: CacheIndex
@@ -89,7 +95,10 @@
 
 
 def build_instance(number: int, environment: InstanceEnvironment) -> EmulatedInstance:
-    """Return an instance that knows all engines; its random numbers are its own."""
+    """Return an instance that knows all engines.
+
+    Its random numbers depend on the scenario's seed and on ``number`` only.
+    """
     table = _build_table(environment)
     knowledge = Knowledge()
     knowledge.adopt(_build_declaration(environment.scenario))
@@ -164,7 +173,7 @@
 
 
 def _build_quarantine(environment: InstanceEnvironment, log: DecisionLog) -> Quarantine:
-    """Return one that nothing is told to: no emulated request ends its engine."""
+    """Return a quarantine that stays empty: no emulated request crashes its engine."""
     return Quarantine(
         log.instance,
         CrashRecords(QUARANTINE_SECONDS),
--- a/ashpond/emulator/permits.py
+++ b/ashpond/emulator/permits.py
@@ -1,4 +1,4 @@
-"""One keeper of all emulated instances' permits, which each of them always reaches."""
+"""The coordinator of the emulated instances' permits, reachable at all times."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 )
 from ashpond.decisions.ratelimits import SERVER_BOUNDS
 
-# Instances hand over what they have earned so often (seconds).
+# How often instances hand over their accrued time (seconds).
 HAND_OVER_SECONDS = 0.25
 
 
 class EmulatedCoordinator:
-    """Decides as the keeper of a fleet that hands it all of its time.
+    """Grants permits like the coordinator of a fleet whose instances all report to it.
 
-    :param delay: one way between instances (seconds).
+    :param delay: the network delay between instances, one way (seconds).
     """
 
     def __init__(self, delay: float, rng: random.Random):
@@ -34,7 +34,7 @@
         self._ledger = Ledger()
 
     async def run(self) -> None:
-        """Take the time of all instances until cancelled."""
+        """Receive the accrued time of all instances until cancelled."""
         begin = trio.current_time()
         while True:
             await trio.sleep(HAND_OVER_SECONDS)
@@ -43,12 +43,12 @@
             begin = now
 
     def open_links(self) -> None:
-        """Do nothing: instances are always linked."""
+        """Do nothing: instances are always connected to the coordinator."""
 
     async def request_permit(
         self, start: str, allowance: Allowance, urgency: int, patience: float
     ) -> AllowanceDecision:
-        """Return whether a request may be sent to a server that names a limit."""
+        """Return whether a request may be sent to a server that has a rate limit."""
         await trio.sleep(2 * self._delay)
         now = trio.current_time()
         accrual = plan_accrual(allowance, SERVER_BOUNDS)
--- a/ashpond/emulator/wire.py
+++ b/ashpond/emulator/wire.py
@@ -34,14 +34,15 @@
 LIMIT = b"limit"
 LEAVING = b"leaving"
 DEFAULT_URGENCY = 5
-# A call to an engine besides requests takes about this (seconds).
+# The duration of a call to an engine that is no request for an answer (seconds).
 ORDER_SECONDS = 0.003
 
 
 class RequestRecords:
-    """What the router told the engines of each request, by the request's id.
+    """What the router sent to the engines with each request, by the request's id.
 
-    ``outputs`` is how many tokens each answer has; ``runs`` are in order.
+    ``outputs`` is the length of each answer in tokens; ``runs`` are the request's runs
+    at engines, the oldest first.
     """
 
     def __init__(self) -> None:
@@ -51,7 +52,7 @@
 
 
 def build_codec(records: RequestRecords) -> Codec:
-    """Return a codec that keeps instructions as they are."""
+    """Return a codec that records instructions instead of writing headers."""
 
     def write_headers(envelope: Envelope, instructions: Instructions) -> Headers:
         records.sent[envelope.request_id] = (envelope, instructions)
@@ -77,7 +78,7 @@
 
 
 def format_statement(engine: EmulatedEngine) -> Headers:
-    """Return the headers of what an engine says of itself."""
+    """Return the headers for an engine's present statement."""
     statement = engine.statement
     if statement is None:
         return []
@@ -85,7 +86,7 @@
 
 
 class EmulatedResponse:
-    """The answer to a request: its first event, then the rest."""
+    """The answer to a request, in two pieces: its first event and the rest."""
 
     def __init__(self, status: int, headers: Headers, run: Run | None):
         self.status = status
@@ -94,9 +95,9 @@
         self._has_first = False
 
     async def read(self) -> bytes:
-        """Return the next piece, empty at the end.
+        """Return the next piece, or no bytes at the end.
 
-        :raises ChannelError: if the engine crashed.
+        :raises ChannelError: if the engine crashed before the end of the answer.
         """
         if self._run is None:
             return b""
@@ -127,9 +128,9 @@
     pool: EmulatedPool
 
     async def exchange(self, request: OutgoingRequest) -> EmulatedResponse:
-        """Send a request; return its answer with the first event.
+        """Send a request; return its answer once the first event is there.
 
-        :raises ChannelError: if the engine crashes meanwhile.
+        :raises ChannelError: if the engine crashes before the first event.
         """
         assert request.request_id is not None
         await trio.sleep(self.pool.delay)
@@ -165,13 +166,13 @@
         return EmulatedResponse(200, statement_headers, run)
 
     def close(self) -> None:
-        """Do nothing; a run that is not read to its end is cancelled."""
+        """Do nothing: cancelling the read of an answer cancels its run."""
 
 
 class EmulatedPool:
-    """Gives out connections to engines.
+    """A pool of connections to engines.
 
-    :param delay: one way between instances and engines (seconds).
+    :param delay: the network delay between instances and engines, one way (seconds).
     """
 
     def __init__(
@@ -185,7 +186,7 @@
         self.by_address = {make_address(name): e for name, e in engines.items()}
 
     async def acquire(self, owner: str, address: str) -> EmulatedChannel:
-        """Return a connection.
+        """Return a connection to the engine at an address.
 
         :raises ChannelError: if the engine is down.
         """
@@ -196,14 +197,14 @@
         return EmulatedChannel(engine, self)
 
     def release(self, owner: str, channel: EmulatedChannel) -> None:
-        """Take a connection back."""
+        """Do nothing: connections are not reused."""
 
     def close_idle(self, owner: str) -> None:
-        """Drop the connections to an engine."""
+        """Do nothing: no idle connections are kept."""
 
 
 def build_engine_port(engines: Mapping[str, EmulatedEngine]) -> EnginePort:
-    """Return the orders and reports of emulated engines."""
+    """Return the port for weight orders to, and reports from, emulated engines."""
 
     async def order(server: BackendServer, order: WeightsOrder) -> OrderOutcome:
         engine = engines[server.id]
@@ -233,5 +234,5 @@
 
 
 def make_address(name: str) -> str:
-    """Return the address under which an engine is known."""
+    """Return the address of an engine."""
     return f"{name}:1"
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/world.py
@@ -1,4 +1,4 @@
-"""Play a scenario: clients, instances with the real decisions, engines."""
+"""The simulation of a scenario: clients, emulated instances and engines."""
 
 from __future__ import annotations
 
@@ -30,18 +30,22 @@
 from ashpond.standins.tables import MemoryStore
 
 CACHE_NAMESPACE = "shared"
-# Instances hear of a notice after this, one way and a turn of their loops (seconds).
+# The delay until instances apply a notice: the network, one way, and one iteration of
+# their event loops (seconds).
 NOTICE_DELAY = 0.004
-# Answers on older weights cost a fifth from this after a version was named (seconds).
+# An answer is stale if it begins on older weights later than this after a newer version
+# was announced (seconds); it then loses this share of the request's worth.
 STALE_AFTER = 1.5
 STALE_SHARE = 0.2
 
 
 class Outcome(NamedTuple):
-    """What became of one request, counted from its first try (seconds).
+    """The result of one request, over all tries of its client (seconds).
 
-    ``first_after`` is None if it was not served; ``held`` is how long tries that were
-    refused had waited, in all. ``is_stale`` answers began on replaced weights.
+    ``first_after`` is the time from the first try to the first event of the answer,
+    None if the request was not served. ``refused_seconds`` is the total duration of the
+    tries that brought no whole answer. ``is_stale`` answers began on weights that had
+    been replaced.
     """
 
     kind: RequestKind
@@ -61,7 +65,7 @@
 
     @property
     def earned(self) -> float:
-        """What the answer is worth, of ``kind.worth``."""
+        """The worth of the answer, at most ``kind.worth``."""
         if self.first_after is None:
             return 0.0
         share = 1.0 if self.is_in_time else self.kind.late_share
@@ -69,7 +73,7 @@
 
 
 class _Reply:
-    """What one try brought; the answer's body is not kept."""
+    """The answer to one try, without its body."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -94,10 +98,10 @@
 
 
 class _Simulation:
-    """One scenario while it is played.
+    """A running scenario.
 
-    Simpler than real: news arrive all at once every ``news_seconds``, and each
-    instance has a budget of repeats of its own.
+    It is simpler than a real fleet: all updates arrive together every
+    ``news_seconds``, and each instance has its own retry budget.
     """
 
     def __init__(self, scenario: Scenario):
@@ -133,7 +137,7 @@
         self._count = 0
 
     async def run(self) -> list[Outcome]:
-        """Play to the end; return the outcomes in the order of their ends."""
+        """Run to the end; return the outcomes in the order in which requests ended."""
         async with trio.open_nursery() as background:
             for engine in self.engines.values():
                 background.start_soon(engine.run)
@@ -238,13 +242,16 @@
     async def _cancel_late(
         self, kind: RequestKind, reply: _Reply, scope: trio.CancelScope
     ) -> None:
-        """Leave, as clients do, if the first event takes too long."""
+        """Cancel a try, as clients do, if its first event takes too long."""
         await trio.sleep(kind.patience)
         if reply.first_at is None:
             scope.cancel()
 
     async def _spread_updates(self) -> None:
-        """Tell all instances of one another's work and holdings, late."""
+        """Send the loads and cache entries of each instance to all others.
+
+        The loads are one update interval old, as if they had been sent then.
+        """
         reported_loads = [
             instance.table.list_own_loads() for instance in self.instances
         ]
@@ -271,7 +278,7 @@
         engine.restart()
 
     async def _apply_statement(self, statement: EngineStatement) -> None:
-        """Let an engine say something of itself for a while."""
+        """Set an engine's statement for the statement's period."""
         await trio.sleep(statement.at)
         engine = list(self.engines.values())[statement.engine]
         engine.statement = statement
@@ -305,7 +312,10 @@
 
 
 def _find_longest_pause(runs: list[Run]) -> float:
-    """Return the longest pause between events of an answer, over all its runs."""
+    """Return the longest pause between events of an answer, over all its runs.
+
+    The time from the last event of a run to the first of the next is a pause, too.
+    """
     longest = max((run.longest_pause for run in runs), default=0.0)
     for before, after in zip(runs, runs[1:], strict=False):
         if before.last_event_at is not None and after.begun_at is not None:
@@ -314,13 +324,14 @@
 
 
 async def simulate(scenario: Scenario) -> list[Outcome]:
-    """Play a scenario on the clock of the running loop."""
+    """Run a scenario on the clock of the running event loop."""
     return await _Simulation(scenario).run()
 
 
 def run_scenario(scenario: Scenario) -> list[Outcome]:
-    """Play a scenario in virtual time; the same seed gives the same outcomes."""
-    # Tasks that may run at once are run in an order of trio's choice.
+    """Run a scenario in virtual time; the same seed gives the same outcomes."""
+    # By default trio runs the tasks that are ready in random order. Its scheduler is
+    # seeded here, so that runs are reproducible.
     trio_run = trio._core._run
     trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     trio_run._r.seed(scenario.seed)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The laboratory: engines in virtual time, scenarios, experiment files."""
+"""Tests of the emulator: engines in virtual time, scenarios, experiment files."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 def test_callers_earn_most_of_the_worth_despite_crashes() -> None:
-    """Shares of worth with seed 1, as measured: 1.0 calm, 0.978 with two crashes."""
+    """The earned share of the worth with seed 1 is 1.0, and 0.978 with two crashes."""
     calm = measure(Scenario((CHECK,), seconds=10.0))
     assert calm.worth > 0.98
     assert calm.unserved == 0
@@ -165,7 +165,7 @@
 def test_callers_are_served_while_engines_limit_back_off_or_leave(
     statements: tuple[EngineStatement, ...], instances: int
 ) -> None:
-    """Three of five engines and more go on as before."""
+    """Guards against lost requests while three of five engines are unaffected."""
     scenario = Scenario(
         (CHECK, NOTE), seconds=20.0, instances=instances, statements=statements
     )
@@ -175,7 +175,10 @@
 
 
 def test_engines_receive_requests_only_within_their_statements() -> None:
-    """Arrivals of all instances, from 3 s after the first word."""
+    """Guards against instances that together exceed what an engine allows.
+
+    Only arrivals from 3 s after the first statement are checked for the rate limit.
+    """
     simulation = _Simulation(
         Scenario(
             (CHECK, NOTE),
@@ -197,5 +200,6 @@
     assert max(window_counts) <= 1.5 * 1.5 * 4 + 5
     assert len(arrivals) >= 0.7 * 1.5 * 9
     assert not [at for at in leaving if at > 6.5]
-    # Eight instances, of which each may have two on their way in a rest of 3 s.
+    # In each backoff of 3 s, each of the eight instances may still have two requests
+    # on their way.
     assert len([at for at in resting if 4.5 <= at <= 12.0]) <= 8 * 3 * 3
