--- a/tests/damage.py
+++ b/tests/damage.py
@@ -1,4 +1,4 @@
-"""Draw values that are damaged in any way, for tests of decoders."""
+"""Hypothesis strategies for damaged values, for tests of decoders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 
 @st.composite
 def damage(draw: st.DrawFn, good: dict[str, Any]) -> bytes:
-    """Return the JSON of a good value with some fields changed, or any bytes."""
+    """Return the JSON of a valid value with changed fields, possibly truncated, or
+    arbitrary bytes.
+    """
     if draw(st.integers(0, 4)) == 0:
         return draw(st.binary(max_size=60))
     fields = draw(st.lists(st.sampled_from(sorted(good)), min_size=1, max_size=3))
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: what may be used again, and what broke off."""
+"""Tests of the reuse of connections to backend servers, and of failed exchanges."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
         pool = ChannelPool()
         request = make_request(b"x" * (8 << 20))
         assert await ask(pool, address, request) == b"too long"
-        # The rest of the body is still due there: no other request may follow.
+        # The server still expects the rest of the body: no other request may follow.
         assert pool.count_idle("s1") == 0
 
 
@@ -149,7 +149,7 @@
 
 
 class Wire:
-    """A connection of a pool whose other end a test holds as a plain socket."""
+    """A connection of a pool; the test holds the server's end as a plain socket."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -162,7 +162,7 @@
         return self.channel
 
     def arrive(self, data: bytes) -> None:
-        """Have bytes arrive, or the end, without a step of the event loop."""
+        """Have bytes, or the end of the stream if empty, arrive without a loop step."""
         if data:
             self.server.sendall(data)
         else:
@@ -183,10 +183,9 @@
     monkeypatch: pytest.MonkeyPatch,
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """An event loop that is held up sees a deadline and the answer at once.
+    """A delayed event loop finds a deadline and the response due in the same step.
 
-    Evidence: looked for after an incident in which a close and a request met in one
-    step of the loop; an answer that took more than one read was thrown away.
+    A response that took more than one read was then discarded.
     """
     wire = Wire()
     channel = await wire.connect()
@@ -236,7 +235,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"x" * (channels.INLINE_BODY_BYTES + 1)])
 async def test_a_request_on_a_connection_that_ends_may_have_run(body: bytes) -> None:
-    """The server's end and the request may cross: nobody can tell, so never again."""
+    """The close and the request may cross, so the request must not be retried."""
     wire = Wire()
     channel = await wire.connect()
     wire.arrive(make_answer())
@@ -264,10 +263,10 @@
 async def test_idle_time_counts_from_when_the_answer_may_have_ended(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """While a slow client holds up a stream, the server has ended it and is idle.
+    """A slow client may delay reading after the server has ended the response.
 
-    Evidence: looked for after requests were lost on kept connections; one idle for
-    5 s at a server that allows 1 s was given out for the next request.
+    A connection that was idle for 5 s at a server that allows 1 s was reused, and the
+    request was lost.
     """
     wire = Wire()
     channel = await wire.connect()
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -1,7 +1,7 @@
-"""Reports, cache events, answers of the store and news that are damaged in any way.
+"""Tests of decoders with damaged reports, cache events, store answers and updates.
 
-Whatever the bytes, a decoder raises the one error that its caller expects, or returns a
-value that is whole: numbers that add up, go into messages and compare with others.
+For any bytes, a decoder raises the one error that its caller expects or returns a valid
+value, whose numbers can be added, compared and sent in messages.
 """
 
 from __future__ import annotations
@@ -187,7 +187,7 @@
     ],
 )
 def test_incomplete_updates_are_refused(changes: dict[str, Any]) -> None:
-    """A sum of two such loads fits no message: the sender's task ended, and so it."""
+    """The sum of two such loads fits no message and crashed the sending instance."""
     message = unpack_value(msgpack.packb(["news", list(make_update(**changes))]))
     with pytest.raises(FrameError):
         decode_update(parse_message(message))  # type: ignore[arg-type]
@@ -207,7 +207,7 @@
     ],
 )
 def test_incomplete_table_changes_are_refused(changes: dict[str, Any]) -> None:
-    """A version that no store reaches would have every later change passed over."""
+    """A version that no store reaches would have all later changes ignored."""
     whole = TableChanges("i", "own", "t", 0, 1, 0.0, [["k", b"v", 1]], 1, False)
     with pytest.raises(FrameError):
         decode_changes(whole._replace(**changes))
@@ -229,7 +229,7 @@
 
 
 def decode_allowance(value: Any) -> None:
-    """Take an ask or an answer; check that times and amounts can be added up."""
+    """Decode a query or an answer; check that times and amounts can be added."""
     message = parse_message(value)
     if isinstance(message, AllowanceQuery):
         requests, returned = decode_query(message)
