--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -22,7 +22,7 @@
     )
 
 
-async def ask(pool: ChannelPool, address: str, request: OutgoingRequest) -> bytes:
+async def fetch(pool: ChannelPool, address: str, request: OutgoingRequest) -> bytes:
     channel = await pool.acquire("s1", address)
     response = await channel.exchange(request)
     body = await response.read_all(1 << 20)
@@ -30,19 +30,19 @@
     return body
 
 
-async def test_a_connection_is_used_again_after_a_whole_answer() -> None:
+async def test_a_connection_is_reused_after_a_complete_answer() -> None:
     async def script(stream: trio.SocketStream, number: int) -> None:
         while await read_request(stream):
             await stream.send_all(make_answer(str(number).encode()))
 
     async with run_server(script) as address:
         pool = ChannelPool()
-        assert await ask(pool, address, make_request()) == b"1"
-        assert await ask(pool, address, make_request()) == b"1"
+        assert await fetch(pool, address, make_request()) == b"1"
+        assert await fetch(pool, address, make_request()) == b"1"
         assert pool.opened == 1
 
 
-async def test_bytes_after_an_answer_end_the_connection() -> None:
+async def test_a_connection_with_bytes_after_an_answer_is_not_reused() -> None:
     async def script(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(make_answer(b"mine") + make_answer(b"stray", "id-9"))
@@ -50,11 +50,11 @@
 
     async with run_server(script) as address:
         pool = ChannelPool()
-        assert await ask(pool, address, make_request()) == b"mine"
+        assert await fetch(pool, address, make_request()) == b"mine"
         assert pool.count_idle("s1") == 0
 
 
-async def test_a_late_answer_to_another_request_is_read_past() -> None:
+async def test_a_late_answer_to_another_request_is_discarded() -> None:
     async def script(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(make_answer(b"stray", "id-0"))
@@ -63,7 +63,7 @@
 
     async with run_server(script) as address:
         pool = ChannelPool()
-        assert await ask(pool, address, make_request(b"body")) == b"mine"
+        assert await fetch(pool, address, make_request(b"body")) == b"mine"
 
 
 async def test_an_answer_may_come_before_the_body_is_taken() -> None:
@@ -75,7 +75,7 @@
     async with run_server(script) as address:
         pool = ChannelPool()
         request = make_request(b"x" * (8 << 20))
-        assert await ask(pool, address, request) == b"too long"
+        assert await fetch(pool, address, request) == b"too long"
         # The server still expects the rest of the body: no other request may follow.
         assert pool.count_idle("s1") == 0
 
@@ -88,11 +88,11 @@
 
     async with run_server(script) as address:
         pool = ChannelPool()
-        assert await ask(pool, address, make_request()) == b"all"
+        assert await fetch(pool, address, make_request()) == b"all"
         assert pool.count_idle("s1") == 0
 
 
-async def test_an_answer_without_length_that_is_reset_is_not_whole() -> None:
+async def test_an_answer_without_length_that_is_reset_is_an_error() -> None:
     async def script(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(b"HTTP/1.1 200 X\r\nX-Request-Id: id-1\r\n\r\nhalf")
@@ -102,11 +102,11 @@
 
     async with run_server(script) as address:
         with pytest.raises(ChannelError) as caught:
-            await ask(ChannelPool(), address, make_request())
+            await fetch(ChannelPool(), address, make_request())
         assert caught.value.is_sent
 
 
-async def test_a_short_answer_is_not_whole() -> None:
+async def test_a_truncated_answer_is_an_error() -> None:
     async def script(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(make_answer(b"whole")[:-2])
@@ -114,10 +114,10 @@
 
     async with run_server(script) as address:
         with pytest.raises(ChannelError):
-            await ask(ChannelPool(), address, make_request())
+            await fetch(ChannelPool(), address, make_request())
 
 
-async def test_bytes_that_are_no_answer_are_a_failure() -> None:
+async def test_bytes_that_are_not_http_are_an_error() -> None:
     async def script(stream: trio.SocketStream, number: int) -> None:
         await read_request(stream)
         await stream.send_all(b"\x00\x01 garbage\r\n\r\n")
@@ -125,10 +125,10 @@
 
     async with run_server(script) as address:
         with pytest.raises(ChannelError):
-            await ask(ChannelPool(), address, make_request())
+            await fetch(ChannelPool(), address, make_request())
 
 
-async def test_an_idle_connection_that_was_closed_is_not_used() -> None:
+async def test_an_idle_connection_that_was_closed_is_not_reused() -> None:
     closed = trio.Event()
 
     async def script(stream: trio.SocketStream, number: int) -> None:
@@ -145,10 +145,10 @@
         pool.release("s1", channel)
         await closed.wait()
         await trio.lowlevel.wait_readable(channel._stream.socket)
-        assert await ask(pool, address, make_request()) == b"2"
+        assert await fetch(pool, address, make_request()) == b"2"
 
 
-class Wire:
+class PooledConnection:
     """A connection of a pool; the test holds the server's end as a plain socket."""
 
     def __init__(self) -> None:
@@ -161,7 +161,7 @@
         self.server, _ = self._listener.accept()
         return self.channel
 
-    def arrive(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         """Have bytes, or the end of the stream if empty, arrive without a loop step."""
         if data:
             self.server.sendall(data)
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("read_bytes", [65_536, 16])
 @pytest.mark.parametrize("body", [b"", b"x" * (channels.INLINE_BODY_BYTES + 1)])
-async def test_an_answer_that_is_there_is_not_lost_to_a_time_limit(
+async def test_an_answer_that_has_arrived_is_not_lost_to_a_deadline(
     read_bytes: int,
     body: bytes,
     monkeypatch: pytest.MonkeyPatch,
@@ -187,8 +187,8 @@
 
     A response that took more than one read was then discarded.
     """
-    wire = Wire()
-    channel = await wire.connect()
+    connection = PooledConnection()
+    channel = await connection.connect()
     monkeypatch.setattr(channels, "READ_BYTES", read_bytes)
     bodies: list[bytes] = []
 
@@ -200,20 +200,20 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(exchange)
         await trio.testing.wait_all_tasks_blocked()
-        wire.arrive(make_answer(b"whole" * 20))
+        connection.deliver(make_answer(b"whole" * 20))
         mock_clock.jump(1.5)
     assert bodies == [b"whole" * 20]
-    wire.close()
+    connection.close()
 
 
 @pytest.mark.parametrize("arrived", [b"", make_answer(b"whole" * 20)[:-1]])
-async def test_a_time_limit_ends_an_answer_that_is_not_all_there(
+async def test_a_deadline_cancels_an_incomplete_answer(
     arrived: bytes,
     monkeypatch: pytest.MonkeyPatch,
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    wire = Wire()
-    channel = await wire.connect()
+    connection = PooledConnection()
+    channel = await connection.connect()
     monkeypatch.setattr(channels, "READ_BYTES", 16)
     bodies: list[bytes] = []
 
@@ -227,31 +227,31 @@
         nursery.start_soon(exchange)
         await trio.testing.wait_all_tasks_blocked()
         if arrived:
-            wire.arrive(arrived)
+            connection.deliver(arrived)
         mock_clock.jump(1.5)
     assert not bodies
-    wire.close()
+    connection.close()
 
 
 @pytest.mark.parametrize("body", [b"", b"x" * (channels.INLINE_BODY_BYTES + 1)])
 async def test_a_request_on_a_connection_that_ends_may_have_run(body: bytes) -> None:
     """The close and the request may cross, so the request must not be retried."""
-    wire = Wire()
-    channel = await wire.connect()
-    wire.arrive(make_answer())
+    connection = PooledConnection()
+    channel = await connection.connect()
+    connection.deliver(make_answer())
     response = await channel.exchange(make_request())
     assert await response.read_all(100) == b"ok"
-    wire.pool.release("s1", channel)
-    assert await wire.pool.acquire("s1", wire.address) is channel
-    wire.arrive(b"")
+    connection.pool.release("s1", channel)
+    assert await connection.pool.acquire("s1", connection.address) is channel
+    connection.deliver(b"")
     assert not channel.is_usable(trio.current_time())
     with pytest.raises(ChannelError) as caught:
         await channel.exchange(make_request(body))
     assert caught.value.is_sent
-    wire.close()
+    connection.close()
 
 
-async def test_nothing_was_sent_where_nobody_listens() -> None:
+async def test_a_refused_connection_counts_as_not_sent() -> None:
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     await listeners[0].aclose()
@@ -268,26 +268,26 @@
     A connection that was idle for 5 s at a server that allows 1 s was reused, and the
     request was lost.
     """
-    wire = Wire()
-    channel = await wire.connect()
+    connection = PooledConnection()
+    channel = await connection.connect()
     answer = make_answer(b"stream", extra="Keep-Alive: timeout=1\r\n")
-    wire.arrive(answer[:-3])
+    connection.deliver(answer[:-3])
     response = await channel.exchange(make_request())
     assert await response.read() == b"str"
-    wire.arrive(answer[-3:])
+    connection.deliver(answer[-3:])
     mock_clock.jump(5.0)
     assert await response.read() == b"eam"
     assert not await response.read()
     assert channel.prepare_reuse()
     assert not channel.is_usable(trio.current_time())
-    wire.close()
+    connection.close()
 
 
 async def test_idle_time_does_not_count_the_wait_for_an_answer(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    wire = Wire()
-    channel = await wire.connect()
+    connection = PooledConnection()
+    channel = await connection.connect()
 
     async def exchange() -> None:
         response = await channel.exchange(make_request())
@@ -297,13 +297,13 @@
         nursery.start_soon(exchange)
         await trio.testing.wait_all_tasks_blocked()
         mock_clock.jump(5.0)
-        wire.arrive(make_answer(extra="Keep-Alive: timeout=1\r\n"))
+        connection.deliver(make_answer(extra="Keep-Alive: timeout=1\r\n"))
     assert channel.prepare_reuse()
     mock_clock.jump(0.6)
     assert channel.is_usable(trio.current_time())
     mock_clock.jump(0.2)
     assert not channel.is_usable(trio.current_time())
-    wire.close()
+    connection.close()
 
 
 def make_idle_channel(idle_seconds: float) -> Channel:
@@ -319,7 +319,7 @@
     return channel
 
 
-def test_the_servers_idle_limit_is_kept_with_a_margin() -> None:
+def test_a_connection_expires_before_the_servers_idle_limit() -> None:
     channel = make_idle_channel(10)
     assert channel.is_usable(6.9)
     assert not channel.is_usable(7.1)
--- a/tests/test_damaged_messages.py
+++ b/tests/test_damaged_messages.py
@@ -57,7 +57,7 @@
 }
 
 
-ASK = [
+QUERY = [
     "allowance_ask",
     [
         "i1#1",
@@ -69,7 +69,7 @@
         [["desk", "tokens", 5]],
     ],
 ]
-VERDICTS = ["allowance", [5.0, [[1, False, 0.5, 3.0, 1.0]]]]
+DECISIONS = ["allowance", [5.0, [[1, False, 0.5, 3.0, 1.0]]]]
 
 
 def decode_message(value: Any) -> None:
@@ -96,7 +96,7 @@
         assert 0 <= notice.excluded_seconds <= MAX_EXCLUDED_SECONDS
 
 
-def take_message(value: Any) -> None:
+def decode_or_reject(value: Any) -> None:
     try:
         decode_message(value)
     except FrameError:
@@ -131,7 +131,7 @@
         return
 
 
-def test_one_damaged_cache_event_loses_no_other() -> None:
+def test_one_damaged_cache_event_does_not_drop_the_others() -> None:
     found = decode_cache_events(orjson.dumps(EVENTS))
     assert [event.number for event in found.events] == [1, 2]
     assert found.is_gap
@@ -140,7 +140,7 @@
 @given(st.binary(max_size=80))
 def test_any_bytes_of_a_peer_raise_one_error_only(data: bytes) -> None:
     try:
-        take_message(unpack_value(data))
+        decode_or_reject(unpack_value(data))
     except FrameError:
         return
 
@@ -149,14 +149,14 @@
 def test_any_fields_of_a_message_raise_one_error_only(
     kind: str, fields: list[Any]
 ) -> None:
-    take_message([kind, fields])
+    decode_or_reject([kind, fields])
 
 
 @given(st.sampled_from(["loads", "notices", "cache_entries", "attempts"]), values)
 def test_updates_with_one_odd_field_raise_one_error_only(
     field: str, value: Any
 ) -> None:
-    take_message(["news", list(make_update(**{field: value}))])
+    decode_or_reject(["news", list(make_update(**{field: value}))])
 
 
 @pytest.mark.parametrize(
@@ -219,13 +219,15 @@
         st.tuples(st.text(max_size=9), st.none() | st.binary(), st.integers(0, 9))
     ),
 )
-async def test_any_cache_events_told_by_a_peer_are_taken_or_passed_over(
+async def test_any_cache_events_of_a_peer_are_applied_or_ignored(
     epoch: str, rows: list[tuple[str, bytes | None, int]]
 ) -> None:
     contents = StoreContents(CacheStore("127.0.0.1:9", "d"), lambda: False)
     table = f"{EVENTS_PREFIX}127.0.0.1:9 {epoch}"
-    told = tuple(Row(table, key, value, version) for key, value, version in rows)
-    contents.apply_update(TableUpdate(table, 0, 9, 0.0, told))
+    rows_of_peer = tuple(
+        Row(table, key, value, version) for key, value, version in rows
+    )
+    contents.apply_update(TableUpdate(table, 0, 9, 0.0, rows_of_peer))
 
 
 def decode_allowance(value: Any) -> None:
@@ -233,25 +235,25 @@
     message = parse_message(value)
     if isinstance(message, AllowanceQuery):
         requests, returned = decode_query(message)
-        earned = decode_accrued_time(message)
-        numbers = [number for span in (earned,) if span for number in span]
+        accrued = decode_accrued_time(message)
+        numbers = [number for span in (accrued,) if span for number in span]
         numbers += [n for r in requests for n in (r.rate, r.burst, r.cost, r.timeout)]
         numbers += [entry.cost for entry in returned]
     elif isinstance(message, AllowanceAnswer):
-        verdicts = decode_answer(message)
+        decisions = decode_answer(message)
         numbers = [message.now]
-        numbers += [n for v in verdicts for n in (v.left, v.share, v.retry_after or 0)]
+        numbers += [n for v in decisions for n in (v.left, v.share, v.retry_after or 0)]
     else:
         return
     assert all(abs(number) <= MAX_NUMBER for number in numbers)
 
 
 @given(
-    good=st.sampled_from([ASK, VERDICTS]),
+    good=st.sampled_from([QUERY, DECISIONS]),
     field=st.integers(0, 6),
     bad=values | st.lists(st.lists(values, max_size=9), max_size=2),
 )
-def test_no_damaged_message_of_allowances_is_used(
+def test_damaged_allowance_messages_are_refused(
     good: list[Any], field: int, bad: Any
 ) -> None:
     kind, fields = good
@@ -265,7 +267,7 @@
 
 
 @pytest.mark.parametrize("number", [math.nan, math.inf, -math.inf])
-def test_times_that_are_no_numbers_are_not_taken(number: float) -> None:
+def test_allowance_times_that_are_not_finite_are_refused(number: float) -> None:
     for value in (
         ["allowance_ask", ["i1#1", 1, 0, False, [number, 2.0], [], []]],
         ["allowance_ask", ["i1#1", 1, 0, False, [1.0, number], [], []]],
--- a/tests/test_runtimeclock.py
+++ b/tests/test_runtimeclock.py
@@ -36,7 +36,7 @@
 from tests.gateway_builders import make_call, make_declaration, make_server, make_table
 from tests.scripted import Answer, run_call
 from tests.servers import make_answer, read_request, run_server
-from tests.test_channels import ask, make_request
+from tests.test_channels import fetch, make_request
 
 SUSPENDED_SECONDS = 10.0
 
@@ -199,9 +199,9 @@
 
     async with run_server(script) as address:
         pool = ChannelPool(lambda: now)
-        assert await ask(pool, address, make_request()) == b"1"
+        assert await fetch(pool, address, make_request()) == b"1"
         now += SUSPENDED_SECONDS
-        assert await ask(pool, address, make_request()) == b"2"
+        assert await fetch(pool, address, make_request()) == b"2"
 
 
 async def test_a_store_answer_read_on_waking_is_dated_before_the_suspension(
