--- a/ashpond/call.py
+++ b/ashpond/call.py
@@ -24,7 +24,7 @@
 
 
 class Progress:
-    """The state of a call so far, read by accounting, limits and quarantine.
+    """The state of a call so far, which the filters share.
 
     ``first_token_at`` is in seconds of the runtime's clock. ``is_whole`` is set once a
     stream has passed on its end event. ``run`` is what is known of the call's effect
--- a/ashpond/operator.py
+++ b/ashpond/operator.py
@@ -96,7 +96,9 @@
     for path in paths:
         name = Path(path).name
         if name in files:
-            problems.append(InputProblem(path, "(file)", "", "the name comes twice"))
+            problems.append(
+                InputProblem(path, "(file)", "", "another file has the same name")
+            )
         try:
             files[name] = Path(path).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
