--- a/ashpond/standins/engine.py
+++ b/ashpond/standins/engine.py
@@ -18,7 +18,7 @@
 
 from ashpond.identity import chain_blocks, count_tokens, render_chat
 from ashpond.server import make_app, read_body
-from ashpond.standins.model import EngineModel, EngineOptions, Work
+from ashpond.standins.model import EngineModel, EngineOptions, Generation
 
 DEFAULT_TOKENS = 16
 FEED_SECONDS = 0.2
@@ -29,8 +29,10 @@
 class Stream:
     """One answer that can be read again from any event."""
 
-    def __init__(self, work: Work, payload: dict[str, Any], prompt: str, chat: bool):
-        self.work = work
+    def __init__(
+        self, generation: Generation, payload: dict[str, Any], prompt: str, chat: bool
+    ):
+        self.generation = generation
         self.payload = payload
         self.chat = chat
         self.digest = hashlib.sha256(prompt.encode()).hexdigest()[:8]
@@ -42,7 +44,7 @@
 
     def make_event(self, name: str, number: int) -> bytes:
         """Return event ``number``; the last one carries the token counts."""
-        last = number == self.work.count
+        last = number == self.generation.count
         token = self.make_token(number)
         reason = "stop" if last else None
         choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
@@ -62,7 +64,7 @@
 
     def make_answer(self, name: str) -> dict[str, Any]:
         """Return the whole answer at once."""
-        text = "".join(self.make_token(n + 1) for n in range(self.work.count))
+        text = "".join(self.make_token(n + 1) for n in range(self.generation.count))
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self.chat:
             choice["message"] = {"role": "assistant", "content": text}
@@ -74,12 +76,12 @@
 
     def count_usage(self) -> dict[str, Any]:
         """Return the token counts in the form that clients know."""
-        prompt = self.work.prompt_tokens
+        prompt = self.generation.prompt_tokens
         cached = {"cached_tokens": self.cached_tokens}
-        total = prompt + self.work.count
+        total = prompt + self.generation.count
         return {
             "prompt_tokens": prompt,
-            "completion_tokens": self.work.count,
+            "completion_tokens": self.generation.count,
             "total_tokens": total,
             "prompt_tokens_details": cached,
         }
@@ -87,7 +89,7 @@
     @property
     def cached_tokens(self) -> int:
         """How many prompt tokens were found in the cache."""
-        return self.work.cached_blocks * 128
+        return self.generation.cached_blocks * 128
 
     def _describe(self, name: str, kind: str) -> dict[str, Any]:
         model = self.payload.get("model", "")
@@ -124,21 +126,21 @@
         blocks = chain_blocks(salt, prompt)
         count = int(payload.get("max_tokens") or DEFAULT_TOKENS)
         rank = int(request.headers.get("X-Priority", "0"))
-        work = Work(blocks, count_tokens(prompt), count, rank)
-        stream = Stream(work, payload, prompt, chat)
+        generation = Generation(blocks, count_tokens(prompt), count, rank)
+        stream = Stream(generation, payload, prompt, chat)
         name = uuid.uuid4().hex
         streams[name] = stream
-        nursery.start_soon(forget, name)
-        model.submit(work)
+        nursery.start_soon(remove_finished_stream, name)
+        model.submit(generation)
         if payload.get("stream"):
             after = int(request.headers.get("X-Resume-After", "0"))
             return await start_stream(name, stream, after)
-        return await finish_whole(name, stream)
+        return await wait_for_answer(name, stream)
 
-    async def forget(name: str) -> None:
+    async def remove_finished_stream(name: str) -> None:
         stream = streams[name]
-        while not stream.work.finished and not stream.work.cancelled:
-            await stream.work.changed.wait()
+        while not stream.generation.finished and not stream.generation.cancelled:
+            await stream.generation.changed.wait()
         await trio.sleep(STREAM_KEPT_SECONDS)
         streams.pop(name, None)
 
@@ -155,12 +157,12 @@
             "X-Cached-Tokens": str(stream.cached_tokens),
         }
 
-    async def finish_whole(name: str, stream: Stream) -> Response:
+    async def wait_for_answer(name: str, stream: Stream) -> Response:
         try:
-            while not stream.work.finished:
-                await stream.work.changed.wait()
+            while not stream.generation.finished:
+                await stream.generation.changed.wait()
         except trio.Cancelled:
-            stream.work.cancelled = True
+            stream.generation.cancelled = True
             raise
         if model.faults.drop_answers > 0:
             model.faults.drop_answers -= 1
@@ -169,10 +171,10 @@
 
     async def start_stream(name: str, stream: Stream, after: int) -> Response:
         try:
-            while not stream.work.made and not stream.work.cancelled:
-                await stream.work.changed.wait()
+            while not stream.generation.generated and not stream.generation.cancelled:
+                await stream.generation.changed.wait()
         except trio.Cancelled:
-            stream.work.cancelled = True
+            stream.generation.cancelled = True
             raise
         headers = make_headers(name, stream)
         body = send_events(name, stream, after)
@@ -182,17 +184,19 @@
         name: str, stream: Stream, after: int
     ) -> AsyncIterator[bytes]:
         sent = after
-        while sent < stream.work.count:
-            while sent >= stream.work.made and not stream.work.cancelled:
-                await stream.work.changed.wait()
-            if stream.work.cancelled:
+        while sent < stream.generation.count:
+            while (
+                sent >= stream.generation.generated and not stream.generation.cancelled
+            ):
+                await stream.generation.changed.wait()
+            if stream.generation.cancelled:
                 return
             # More tokens are made while these are sent: only those whose events
             # were put together here count as sent.
-            made = stream.work.made
-            ready = range(sent + 1, made + 1)
+            generated = stream.generation.generated
+            ready = range(sent + 1, generated + 1)
             yield b"".join(stream.make_event(name, number) for number in ready)
-            sent = made
+            sent = generated
             if model.faults.cut_after and sent >= model.faults.cut_after:
                 model.faults.cut_after = 0
                 raise ConnectionResetError("told to cut the stream")
@@ -215,8 +219,8 @@
     @app.delete("/v1/streams/<name>")
     async def cancel(name: str) -> Response:
         if name in streams:
-            streams[name].work.cancelled = True
-            streams[name].work.tell()
+            streams[name].generation.cancelled = True
+            streams[name].generation.notify()
         return answer({})
 
     @app.get("/load")
@@ -298,8 +302,8 @@
         model.events.clear()
         model.sequence = 0
         for stream in streams.values():
-            stream.work.cancelled = True
-            stream.work.tell()
+            stream.generation.cancelled = True
+            stream.generation.notify()
         streams.clear()
         return answer({})
 
--- a/ashpond/standins/model.py
+++ b/ashpond/standins/model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["EngineFaults", "EngineModel", "EngineOptions", "Work"]
+__all__ = ["EngineFaults", "EngineModel", "EngineOptions", "Generation"]
 
 import heapq
 import random
@@ -50,7 +50,7 @@
         self.deadly_text = ""
 
 
-class Work:
+class Generation:
     """One request in the engine, and the events that it has made so far."""
 
     def __init__(self, prompt: tuple[int, ...], tokens: int, count: int, rank: int):
@@ -60,11 +60,11 @@
         self.rank = rank
         self.first_token = 1
         self.cached_blocks = 0
-        self.made = 0
+        self.generated = 0
         self.cancelled = False
         self.changed = trio.Event()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Wake whoever waits for the next token."""
         self.changed.set()
         self.changed = trio.Event()
@@ -72,7 +72,7 @@
     @property
     def finished(self) -> bool:
         """Whether all tokens are made."""
-        return self.made >= self.count
+        return self.generated >= self.count
 
 
 class EngineModel:
@@ -92,15 +92,15 @@
         self.sequence = 0
         self.reports: list[tuple[float, dict[str, Any]]] = []
         self.prefilled_tokens = 0
-        self._queue: list[tuple[int, int, Work]] = []
+        self._queue: list[tuple[int, int, Generation]] = []
         self._arrivals = 0
         self._wake = trio.Event()
         self._rng = random.Random(7)
 
-    def submit(self, work: Work) -> None:
+    def submit(self, generation: Generation) -> None:
         """Queue one request."""
         self._arrivals += 1
-        heapq.heappush(self._queue, (work.rank, self._arrivals, work))
+        heapq.heappush(self._queue, (generation.rank, self._arrivals, generation))
         self._wake.set()
 
     async def run(self, nursery: trio.Nursery) -> None:
@@ -109,38 +109,38 @@
             while not self._queue or self.running >= self.options.max_running:
                 self._wake = trio.Event()
                 await self._wake.wait()
-            _, _, work = heapq.heappop(self._queue)
-            if work.cancelled:
+            _, _, generation = heapq.heappop(self._queue)
+            if generation.cancelled:
                 continue
             self.running += 1
-            await self._prefill(work)
-            nursery.start_soon(self._decode, work)
+            await self._prefill(generation)
+            nursery.start_soon(self._decode, generation)
 
-    async def _prefill(self, work: Work) -> None:
-        work.cached_blocks = self._match(work.prompt)
-        uncached = self._count_uncached(work)
+    async def _prefill(self, generation: Generation) -> None:
+        generation.cached_blocks = self._match(generation.prompt)
+        uncached = self._count_uncached(generation)
         self.prefilled_tokens += uncached
-        await self._work(uncached / self.options.prefill_rate)
-        self._store(work.prompt)
+        await self._wait_for_compute(uncached / self.options.prefill_rate)
+        self._store(generation.prompt)
 
-    async def _decode(self, work: Work) -> None:
+    async def _decode(self, generation: Generation) -> None:
         try:
-            while not work.finished and not work.cancelled:
-                await self._work(self.options.token_seconds)
-                work.made += 1
-                work.tell()
+            while not generation.finished and not generation.cancelled:
+                await self._wait_for_compute(self.options.token_seconds)
+                generation.generated += 1
+                generation.notify()
         finally:
             self.running -= 1
             self._wake.set()
 
-    async def _work(self, seconds: float) -> None:
+    async def _wait_for_compute(self, seconds: float) -> None:
         await trio.sleep(seconds * self.faults.slow)
         while self.faults.frozen:
             await trio.sleep(0.01)
 
-    def _count_uncached(self, work: Work) -> int:
-        cached = self._match(work.prompt) * BLOCK_TOKENS
-        return max(1, work.prompt_tokens - cached)
+    def _count_uncached(self, generation: Generation) -> int:
+        cached = self._match(generation.prompt) * BLOCK_TOKENS
+        return max(1, generation.prompt_tokens - cached)
 
     def _match(self, blocks: tuple[int, ...]) -> int:
         count = 0
@@ -184,12 +184,16 @@
     def report(self) -> dict[str, Any]:
         """Return the load as it was a lag ago."""
         now = trio.current_time()
-        waiting = [work for _, _, work in self._queue if not work.cancelled]
+        waiting = [
+            generation for _, _, generation in self._queue if not generation.cancelled
+        ]
         fresh = {
             "incarnation": self.incarnation,
             "running": self.running,
             "waiting": len(waiting),
-            "waiting_tokens": sum(self._count_uncached(work) for work in waiting),
+            "waiting_tokens": sum(
+                self._count_uncached(generation) for generation in waiting
+            ),
             "max_running": self.options.max_running,
             "prefill_rate": self.options.prefill_rate / self.faults.slow,
             "model": self.options.model,
--- a/ashpond/standins/platform.py
+++ b/ashpond/standins/platform.py
@@ -92,7 +92,7 @@
     app = make_app("platform")
     state = PlatformState()
 
-    async def fail_if_told() -> Response | None:
+    async def apply_outage() -> Response | None:
         if state.delay_seconds:
             await trio.sleep(state.delay_seconds)
         if state.outage:
@@ -104,7 +104,7 @@
         if request.path.startswith("/control/"):
             return None
         state.counts["writes" if request.method in ("POST", "PUT") else "reads"] += 1
-        return await fail_if_told()
+        return await apply_outage()
 
     @app.post("/tables/transact")
     async def transact() -> Response:
@@ -144,8 +144,8 @@
     async def load_weights(model: str, version: str) -> Response:
         state.weight_loads += 1
         try:
-            crowd = max(1.0, state.weight_loads / WEIGHT_LOADS_AT_FULL_RATE)
-            await trio.sleep(WEIGHT_SECONDS * crowd)
+            slowdown = max(1.0, state.weight_loads / WEIGHT_LOADS_AT_FULL_RATE)
+            await trio.sleep(WEIGHT_SECONDS * slowdown)
         finally:
             state.weight_loads -= 1
         return _reply({"model": model, "version": version})
--- a/ashpond/standins/runner.py
+++ b/ashpond/standins/runner.py
@@ -15,14 +15,14 @@
 
 async def run_standin(build: Callable[[trio.Nursery], Any], address: str) -> None:
     """Serve the application that ``build`` returns until SIGINT or SIGTERM."""
-    end = trio.Event()
+    stop_requested = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_watch_signals, end)
-        await run_app(build(nursery), address, end.wait)
+        nursery.start_soon(_watch_signals, stop_requested)
+        await run_app(build(nursery), address, stop_requested.wait)
         nursery.cancel_scope.cancel()
 
 
-async def _watch_signals(end: trio.Event) -> None:
+async def _watch_signals(stop_requested: trio.Event) -> None:
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
         async for _ in signals:
-            end.set()
+            stop_requested.set()
--- a/ashpond/standins/tables.py
+++ b/ashpond/standins/tables.py
@@ -18,7 +18,7 @@
 )
 from ashpond.outcomes import Conflict, Done, Unavailable, Unknown
 
-LATE = Unknown("an answer from before the store came back")
+STALE_ANSWER = Unknown("an answer from before the store came back")
 
 
 class StoreCopy(NamedTuple):
@@ -55,13 +55,13 @@
         """Return the operations as one instance calls them."""
         era = StoreEra()
 
-        def note(sent_at: float) -> bool:
+        def check_era(sent_at: float) -> bool:
             return era.apply(self.era, sent_at, trio.current_time())
 
         async def read(table: str) -> Done | Unavailable | Unknown:
             sent_at = trio.current_time()
             outcome = await self.read(table)
-            return outcome if note(sent_at) else LATE
+            return outcome if check_era(sent_at) else STALE_ANSWER
 
         async def follow(
             table: str, after: int, wait: float
@@ -70,14 +70,14 @@
             outcome = await self.follow(table, after, wait)
             if isinstance(outcome, Unknown):
                 return outcome
-            return outcome if note(sent_at) else LATE
+            return outcome if check_era(sent_at) else STALE_ANSWER
 
         async def write(
             conditions: list[Condition], puts: list[Row]
         ) -> Done | Conflict | Unavailable | Unknown:
             sent_at = trio.current_time()
             outcome = await self.write(conditions, puts)
-            return outcome if note(sent_at) else LATE
+            return outcome if check_era(sent_at) else STALE_ANSWER
 
         return Store(read, follow, write, era)
 
@@ -85,7 +85,7 @@
         """Return a copy of all rows as they are now."""
         return StoreCopy(dict(self.rows), list(self.removed), self.version, self.oldest)
 
-    def return_from(self, copy: StoreCopy) -> None:
+    def restore_from(self, copy: StoreCopy) -> None:
         """Lose what has been written since a copy; versions are given out again.
 
         Calls that wait for a change get no answer, as their connections end.
@@ -110,7 +110,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop the changes so far; those who follow have to read anew."""
         self.oldest = self.version
         self.removed.clear()
@@ -134,7 +134,7 @@
         await trio.sleep(self.answer_seconds)
         era = self.era
         with trio.move_on_after(wait):
-            while not self._has_news(table, after, era):
+            while not self._has_changes(table, after, era):
                 await self._changed.wait()
         if self.era != era:
             return Unknown("the connection ended")
@@ -160,7 +160,7 @@
             self.put(row.table, row.key, row.value)
         return Unknown("lost") if self.lose_answers else Done(self.version)
 
-    def _has_news(self, table: str, after: int, era: int) -> bool:
+    def _has_changes(self, table: str, after: int, era: int) -> bool:
         if self.is_down or self.era != era:
             return True
         return bool(self._list_changes(table, after))
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -95,7 +95,7 @@
         await trio.sleep(seconds)
 
     async def _forget_history(self, seconds: float) -> None:
-        self._world.memory.forget_history()
+        self._world.memory.drop_history()
         await trio.sleep(seconds)
 
 
@@ -115,7 +115,7 @@
             memory.is_down = True
             await trio.sleep(self._rng.uniform(*FAULT_SECONDS))
             known = memory.version
-            memory.return_from(copy)
+            memory.restore_from(copy)
             memory.is_down = False
             if self._rng.random() < SILENT_SHARE:
                 # A key is removed, and the version that was known is reached again,
--- a/tests/test_damaged_rows.py
+++ b/tests/test_damaged_rows.py
@@ -210,7 +210,7 @@
         await trio.sleep(1.0)
         assert followed.list_usable() == ["b"]
         # The same holds when the whole table is read, as after lost history.
-        followed.store.forget_history()
+        followed.store.drop_history()
         await trio.sleep(8.0)
         assert followed.list_usable() == ["b"]
         followed.put_server("a", seq=5)
@@ -250,7 +250,7 @@
     async with trio.open_nursery() as nursery:
         followed.start(nursery)
         await trio.sleep(1.0)
-        followed.store.forget_history()
+        followed.store.drop_history()
         await trio.sleep(8.0)
         assert followed.invalid == ["servers"]
         followed.store.put("servers", "a", b"[")
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -46,7 +46,7 @@
     copy = store.take_copy()
     for number in range(steps):
         store.put("other", f"lost {number}", b"x")
-    store.return_from(copy)
+    store.restore_from(copy)
 
 
 async def test_follower_sees_changes_after_a_restore(
@@ -61,7 +61,7 @@
         for number in range(13):
             store.put("t", f"lost {number}", b"x")
         await trio.sleep(0.1)
-        store.return_from(copy)
+        store.restore_from(copy)
         store.put("t", "a", b"2")
         for number in range(20):
             store.put("other", f"again {number}", b"x")
@@ -92,7 +92,7 @@
         copy = store.take_copy()
         store.put("t", "lost", b"x")
         await trio.sleep(0.1)
-        store.return_from(copy)
+        store.restore_from(copy)
         store.put("t", "b", b"2")
         calls = len(store.calls)
         await trio.sleep(RESTORE_TIMEOUT_SECONDS * 2)
@@ -126,10 +126,10 @@
     async with running(followed):
         await trio.sleep(0.1)
         store.answer_seconds = 0.5
-        store.return_from(store.take_copy())
+        store.restore_from(store.take_copy())
         await trio.sleep(0.8)
         # Another call of this instance reports the next restore during a call.
-        store.return_from(store.take_copy())
+        store.restore_from(store.take_copy())
         followed.follower._store.era.apply(store.era, trio.current_time(), 0.0)
         store.answer_seconds = 0.004
         await trio.sleep(0.05)
@@ -205,9 +205,9 @@
                     store.is_down = True
                     await trio.sleep(number)
                     store.is_down = False
-                    store.return_from(copy)
+                    store.restore_from(copy)
                 elif step == "forget":
-                    store.forget_history()
+                    store.drop_history()
                 else:
                     await trio.sleep(number / 10)
             await trio.sleep(8.0)
@@ -277,7 +277,7 @@
     await trio.sleep(0.1)
     assert knowledge.declaration is not None
     assert "k1" not in knowledge.declaration.teams_by_key
-    store.return_from(copy)
+    store.restore_from(copy)
     store.put("other", "x", b"1")
     await trio.sleep(3.0)
     # The copy holds the key, but the newer configuration stays in force.
@@ -295,7 +295,7 @@
     store.put(OPERATOR_TABLE, "config", orjson.dumps(CONFIGURATION))
     followed.start(nursery)
     await trio.sleep(1.0)
-    store.return_from(store.take_copy())
+    store.restore_from(store.take_copy())
     store.put("other", "x", b"1")
     store.put(OPERATOR_TABLE, "other", b"x")
     await trio.sleep(0.5)
@@ -325,7 +325,7 @@
     store.put(SERVERS_TABLE, "leaves", orjson.dumps({**SERVER, "state": "draining"}))
     store.put(SERVERS_TABLE, "new", orjson.dumps({**SERVER, "address": "10.0.0.9:1"}))
     await trio.sleep(0.5)
-    store.return_from(copy)
+    store.restore_from(copy)
     store.put("other", "x", b"1")
     await trio.sleep(0.5)
 
@@ -365,7 +365,7 @@
     store.put(MEMBERS_TABLE, "newer", make_member("newer"))
     await trio.sleep(0.5)
     assert set(members.by_name) == {"i", "newer"}
-    store.return_from(copy)
+    store.restore_from(copy)
     store.put("other", "x", b"1")
     await trio.sleep(1.0)
     rows = {key for table, key in store.rows if table == MEMBERS_TABLE}
@@ -390,7 +390,7 @@
     copy = store.take_copy()
     await members.leave()
     await trio.sleep(0.5)
-    store.return_from(copy)
+    store.restore_from(copy)
     store.put("other", "x", b"1")
     await trio.sleep(1.0)
     assert not [key for table, key in store.rows if table == MEMBERS_TABLE]
@@ -407,7 +407,7 @@
     await members.agree_secret()
     secret = members.secret
     nursery.start_soon(members.restore_rows)
-    store.return_from(copy)
+    store.restore_from(copy)
     await port.read("any")
     await trio.sleep(1.0)
     other = Members(
@@ -427,7 +427,7 @@
     )
     nursery.start_soon(members.restore_rows)
     await port.read("any")
-    store.return_from(store.take_copy())
+    store.restore_from(store.take_copy())
     await port.read("any")
     await trio.sleep(1.0)
     assert store.rows == {}
@@ -442,7 +442,7 @@
     nursery.start_soon(quarantine.run)
     await crash_three_servers(quarantine)
     await trio.sleep(2.0)
-    store.return_from(copy)
+    store.restore_from(copy)
     await quarantine._rows._store.read("any")
     await trio.sleep(1.0)
     assert [key for table, key in store.rows if table == QUARANTINE_TABLE]
@@ -509,7 +509,7 @@
             store.is_down = True
             await trio.sleep(rng.uniform(0.1, 2.0))
             store.is_down = False
-            store.return_from(copy)
+            store.restore_from(copy)
             for number in range(rng.randrange(30)):
                 store.put("other", str(number), b"x")
             await trio.sleep(rng.uniform(0.0, 9.0))
@@ -530,7 +530,7 @@
         await trio.sleep(5.0)
         copy = store.take_copy()
         await trio.sleep(1.0)
-        store.return_from(copy)
+        store.restore_from(copy)
         restored_at = trio.current_time()
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
@@ -554,7 +554,7 @@
     assert contender.lease.holds(trio.current_time())
     fence = contender.lease.fence
     version = store.rows[LEASE_TABLE, make_lease_key(1)].version
-    store.return_from(store.take_copy())
+    store.restore_from(store.take_copy())
     key = make_lease_key(2)
     granted = Row(LEASE_TABLE, key, b"of another", version)
     store.rows[LEASE_TABLE, key] = granted
@@ -576,7 +576,7 @@
     contender = Contender("i0", store, ["i0"])
     for _ in range(3):
         await contender.order_lease.hold(trio.current_time(), 60.0)
-    store.return_from(store.take_copy())
+    store.restore_from(store.take_copy())
     started_at = trio.current_time()
     other = Contender("i1", store, ["i1"])
     while not other.lease.holds(trio.current_time()):
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -46,7 +46,7 @@
         await trio.sleep(0.5)
         store.put("t", "a", None)
         store.put("t", "b", b"2")
-        store.forget_history()
+        store.drop_history()
         await trio.sleep(1.0)
         assert followed.rows == {"b": b"2"}
         nursery.cancel_scope.cancel()
--- a/tests/test_feeds_forwarding.py
+++ b/tests/test_feeds_forwarding.py
@@ -66,7 +66,7 @@
     async with running(reader, other):
         await trio.sleep(0.1)
         store.put("other", "x", b"1")
-        store.forget_history()
+        store.drop_history()
         store.put("t", "b", b"2")
         await trio.sleep(0.1)
         assert reader.full_reads == 2
@@ -109,7 +109,7 @@
         # The hub's call served the member too.
         assert len(store.calls) == calls + 1
         store.put("other", "x", b"1")
-        store.forget_history()
+        store.drop_history()
         store.put("t", "c", b"3")
         await trio.sleep(0.1)
         calls = len(store.calls)
--- a/tests/test_key_removal_after_restore.py
+++ b/tests/test_key_removal_after_restore.py
@@ -45,7 +45,7 @@
         memory.put(OPERATOR_TABLE, "other", b"x")
         await trio.sleep(1.0)
         known = memory.version
-        memory.return_from(copy)
+        memory.restore_from(copy)
         removed = orjson.dumps(make_configuration(2, ("k1",)))
         memory.put(OPERATOR_TABLE, "config", removed)
         while memory.version <= known:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -115,7 +115,7 @@
 async def test_lost_history_is_reported() -> None:
     memory = MemoryStore()
     memory.put("t", "a", b"1")
-    memory.forget_history()
+    memory.drop_history()
     async with run_store(memory) as store:
         assert await store.follow("t", 0, 0.0) == HistoryLost()
 
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -49,7 +49,7 @@
     return b"".join(answer).decode()
 
 
-async def test_a_slow_send_leaves_out_no_event(autojump_clock: object) -> None:
+async def test_a_slow_client_receives_every_event(autojump_clock: object) -> None:
     """A graceful shutdown's test got 121 of 151 events beside a load of 24.
 
     Evidence: its steps, repeated beside a load of 25, gave three short streams
