--- a/ashpond/api/admin.py
+++ b/ashpond/api/admin.py
@@ -30,8 +30,8 @@
     from ashpond.metrics import Metrics
     from ashpond.settings import Settings
 
-OPEN_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
-MAX_APPLY_ID = 64
+PUBLIC_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
+MAX_APPLY_ID_CHARACTERS = 64
 
 
 def build_admin_app(
@@ -49,7 +49,7 @@
 
     @app.before_request
     async def check_token() -> Response | None:
-        if request.path in OPEN_PATHS:
+        if request.path in PUBLIC_PATHS:
             return None
         given = request.headers.get("Authorization", "").encode()
         expected = f"Bearer {settings.admin_token}".encode()
@@ -101,7 +101,7 @@
 
     @app.post("/admin/apply")
     async def apply() -> Response:
-        problem, change = read_apply(await read_body())
+        problem, change = parse_apply(await read_body())
         if problem:
             return reply({"error": problem}, 400)
         try:
@@ -136,28 +136,34 @@
     return Response(orjson.dumps(value), status, content_type="application/json")
 
 
-def read_apply(body: bytes) -> tuple[str, tuple[Any, int | None, str]]:
+def parse_apply(body: bytes) -> tuple[str, tuple[Any, int | None, str]]:
     """Parse the body of an apply request.
 
     :returns: what is wrong with it, empty if nothing; and its files, base and id.
     """
-    nothing: tuple[Any, int | None, str] = ({}, None, "")
+    no_change: tuple[Any, int | None, str] = ({}, None, "")
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        return f"the body is not JSON: {error}", nothing
+        return f"the body is not JSON: {error}", no_change
     if not isinstance(value, dict):
-        return "the body must be an object", nothing
+        return "the body must be an object", no_change
     files, base = value.get("files"), value.get("base")
     apply_id = value.get("apply_id")
     if not isinstance(files, dict) or not files:
-        return "files must be an object with entries", nothing
+        return "files must be an object with entries", no_change
     if not all(isinstance(text, str | None) for text in files.values()):
-        return "each file must be text, or null to remove it", nothing
+        return "each file must be text, or null to remove it", no_change
     if base is not None and (not isinstance(base, int) or isinstance(base, bool)):
-        return "base must be a generation", nothing
-    if not isinstance(apply_id, str) or not 0 < len(apply_id) <= MAX_APPLY_ID:
-        return f"apply_id must have 1 to {MAX_APPLY_ID} characters", nothing
+        return "base must be a generation", no_change
+    if (
+        not isinstance(apply_id, str)
+        or not 0 < len(apply_id) <= MAX_APPLY_ID_CHARACTERS
+    ):
+        return (
+            f"apply_id must have 1 to {MAX_APPLY_ID_CHARACTERS} characters",
+            no_change,
+        )
     return "", (files, base, apply_id)
 
 
--- a/ashpond/api/callers.py
+++ b/ashpond/api/callers.py
@@ -26,7 +26,7 @@
     from ashpond.filters.resumption import ResumeForCaller
     from ashpond.settings import Settings
 
-EXITS_KEY = "ashpond.exits"
+EXIT_STACK_KEY = "ashpond.exits"
 CLOSE_SECONDS = 2.0
 METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"]
 UNAUTHORIZED = 401
@@ -41,7 +41,7 @@
     async def __call__(self, receive: Any, send: Any) -> None:
         """Serve one exchange."""
         exits = AsyncExitStack()
-        cast("dict[str, Any]", self.scope)[EXITS_KEY] = exits
+        cast("dict[str, Any]", self.scope)[EXIT_STACK_KEY] = exits
         try:
             await super().__call__(receive, send)
         finally:
@@ -73,7 +73,7 @@
             headers={name.lower(): value for name, value in request.headers.items()},
             body=body,
             arrived=trio.current_time(),
-            exits=find_exits(),
+            exits=get_exit_stack(),
             progress=Progress(),
             **fields,
         )
@@ -87,7 +87,7 @@
             reply.headers["Connection"] = "close"
         if isinstance(reply.body, bytes):
             return Response(reply.body, reply.status, reply.headers)
-        find_exits().push_async_callback(close_body, reply.body)
+        get_exit_stack().push_async_callback(close_body, reply.body)
         return Response(reply.body, reply.status, reply.headers)
 
     @app.post("/v1/chat/completions")
@@ -130,8 +130,8 @@
         team = find_team(
             configuration.current, request.headers.get("Authorization", "")
         )
-        read = read_stream_token(settings.peer_secret, token)
-        if team is None or read is None or read.team != team:
+        stream_token = read_stream_token(settings.peer_secret, token)
+        if team is None or stream_token is None or stream_token.team != team:
             text = "no such stream for this team"
             return respond(
                 make_refusal_reply(Refusal(NOT_FOUND, "unknown_stream", text))
@@ -139,24 +139,24 @@
         call = await make_call(CallKind.CHAT)
         resumable = call.headers.get(RESUMABLE_HEADER, "").lower() == "true"
         call = call._replace(resumable=resumable)
-        server = configuration.current.backend_servers.get(read.server)
+        server = configuration.current.backend_servers.get(stream_token.server)
         if server is not None:
             service = configuration.current.services[server.service]
             call = call._replace(service_name=server.service, service=service)
-        outcome = await resume(call, read, int(after))
+        outcome = await resume(call, stream_token, int(after))
         if isinstance(outcome, Refusal):
             outcome = make_refusal_reply(outcome)
         return respond(outcome)
 
     @app.errorhandler(HTTPException)
-    async def explain(error: HTTPException) -> Response:
+    async def handle_http_error(error: HTTPException) -> Response:
         status = error.code or 500
         kind = (error.name or "error").lower().replace(" ", "_")
         text = error.description or error.name or "error"
         return respond(make_refusal_reply(Refusal(status, kind, text)))
 
     @app.errorhandler(Exception)
-    async def explain_fault(error: Exception) -> Response:
+    async def handle_unexpected_error(error: Exception) -> Response:
         app.logger.exception("a call failed")
         text = "an internal error"
         unknown = RunState.OUTCOME_UNKNOWN
@@ -165,10 +165,10 @@
     return app
 
 
-def find_exits() -> AsyncExitStack:
+def get_exit_stack() -> AsyncExitStack:
     """Return the exit stack that is closed when the current exchange ends."""
     scope = cast("dict[str, Any]", request.scope)
-    exits: AsyncExitStack = scope[EXITS_KEY]
+    exits: AsyncExitStack = scope[EXIT_STACK_KEY]
     return exits
 
 
--- a/ashpond/clients/coordinator.py
+++ b/ashpond/clients/coordinator.py
@@ -71,7 +71,7 @@
     share: Amount
 
 
-class _StoredTimeSpan(NamedTuple):
+class _TimeSpanFields(NamedTuple):
     # Starts may be negative: a coordinator's clock that has just started shows less
     # than the time accrued before.
     begin: ClockSeconds
@@ -122,7 +122,7 @@
     if not message.accrued:
         return None
     try:
-        return TimeSpan(*msgspec.convert(message.accrued, _StoredTimeSpan))
+        return TimeSpan(*msgspec.convert(message.accrued, _TimeSpanFields))
     except ValueError as error:
         raise FrameError(f"invalid accrued time: {error!r}") from error
 
--- a/ashpond/clients/fields.py
+++ b/ashpond/clients/fields.py
@@ -17,9 +17,9 @@
 
     :raises ValueError: if a list has missing, additional or mistyped fields.
     """
-    found = msgspec.convert(values, dict[str, kind])  # type: ignore[valid-type]
+    converted = msgspec.convert(values, dict[str, kind])  # type: ignore[valid-type]
     _check_lengths(values.values(), kind)
-    return found
+    return converted
 
 
 def convert_list(values: list[Any], kind: type[T]) -> list[T]:
@@ -28,13 +28,13 @@
     :raises ValueError: if a list has missing, additional or mistyped fields.
     """
     # Without ``builtin_types``, msgspec would decode a string as base64 bytes.
-    found = msgspec.convert(
+    converted = msgspec.convert(
         values,
         list[kind],  # type: ignore[valid-type]
         builtin_types=(bytes,),
     )
     _check_lengths(values, kind)
-    return found
+    return converted
 
 
 def _check_lengths(values: Iterable[Any], kind: type[T]) -> None:
--- a/ashpond/clients/retryafter.py
+++ b/ashpond/clients/retryafter.py
@@ -16,14 +16,14 @@
 
 
 def parse_retry_after(
-    texts: Sequence[str], date: str | None
+    values: Sequence[str], date: str | None
 ) -> tuple[float | None, bool]:
     """Return the longest delay in seconds, and whether any value is malformed.
 
-    :param texts: the header's values: decimal seconds or HTTP dates.
+    :param values: the header's values: decimal seconds or HTTP dates.
     :param date: the response's ``Date`` header, relative to which dates are read.
     """
-    times = [_parse_delay(text.strip(), date) for text in texts]
+    times = [_parse_delay(text.strip(), date) for text in values]
     known = [seconds for seconds in times if seconds is not None]
     return max(known, default=None), len(known) < len(times)
 
@@ -34,13 +34,13 @@
     until = _parse_date(text)
     if until is None:
         return None
-    begin = _parse_date(date or "") or datetime.now(UTC)
-    return max(0.0, (until - begin).total_seconds())
+    reference = _parse_date(date or "") or datetime.now(UTC)
+    return max(0.0, (until - reference).total_seconds())
 
 
 def _parse_date(text: str) -> datetime | None:
     try:
-        found = parsedate_to_datetime(text)
+        parsed = parsedate_to_datetime(text)
     except (ValueError, TypeError, OverflowError, IndexError):
         return None
-    return found if found.tzinfo else found.replace(tzinfo=UTC)
+    return parsed if parsed.tzinfo else parsed.replace(tzinfo=UTC)
--- a/ashpond/clients/service.py
+++ b/ashpond/clients/service.py
@@ -16,7 +16,7 @@
 SERVER_ERROR = 500
 MAX_ANSWER_BYTES = 32 << 20
 # Headers that belong to one connection, or that the router sets itself.
-HOP_HEADERS = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     {
         "authorization",
         "connection",
@@ -98,7 +98,7 @@
     return {
         name: value
         for name, value in headers.items()
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in UNFORWARDED_HEADERS
     }
 
 
