--- a/ashpond/emulator/wire.py
+++ b/ashpond/emulator/connections.py
@@ -77,7 +77,7 @@
     return Codec(lambda headers: None, write_headers, read_answer_headers)
 
 
-def format_statement(engine: EmulatedEngine) -> Headers:
+def format_statement_headers(engine: EmulatedEngine) -> Headers:
     """Return the headers for an engine's present statement."""
     statement = engine.statement
     if statement is None:
@@ -92,7 +92,7 @@
         self.status = status
         self.headers = headers
         self._run = run
-        self._has_first = False
+        self._has_read_first = False
 
     async def read(self) -> bytes:
         """Return the next piece, or no bytes at the end.
@@ -101,8 +101,8 @@
         """
         if self._run is None:
             return b""
-        if not self._has_first:
-            self._has_first = True
+        if not self._has_read_first:
+            self._has_read_first = True
             return b"id: 1\n\n"
         run, self._run = self._run, None
         try:
@@ -138,23 +138,23 @@
         prompt = envelope.prompt
         assert prompt is not None
         self.engine.arrivals.append(trio.current_time())
-        statement_headers = format_statement(self.engine)
+        statement_headers = format_statement_headers(self.engine)
         is_rejecting = any(name == BACKOFF for name, _ in statement_headers)
         if self.engine.ordered_version is not None or is_rejecting:
             return EmulatedResponse(503, [*NOT_RUN, *statement_headers], None)
         if instructions.weights_version != self.engine.version:
             return EmulatedResponse(421, statement_headers, None)
         urgency = instructions.urgency
-        earlier = self.pool.records.runs.setdefault(request.request_id, [])
+        earlier_runs = self.pool.records.runs.setdefault(request.request_id, [])
         run = Run(
             prompt,
             instructions.salt or "",
-            earlier[-1].tokens_left
-            if earlier
+            earlier_runs[-1].tokens_left
+            if earlier_runs
             else self.pool.records.outputs[request.request_id],
             DEFAULT_URGENCY if urgency is None else urgency,
         )
-        earlier.append(run)
+        earlier_runs.append(run)
         source = self.pool.by_address.get(instructions.fetch_from or "")
         self.engine.submit(run, source)
         try:
--- a/ashpond/emulator/engines.py
+++ b/ashpond/emulator/engines.py
@@ -41,14 +41,14 @@
         self.prompt = prompt
         self.salt = salt
         self.urgency = urgency
-        self.unread = 0
-        self.fetched_at = 0.0
+        self.unread_tokens = 0
+        self.fetch_ends_at = 0.0
         self.tokens_left = output_tokens
         self.has_begun = trio.Event()
         self.has_ended = trio.Event()
         self.is_broken = False
         self.is_cancelled = False
-        self.begun_at: float | None = None
+        self.first_event_at: float | None = None
         self.last_event_at: float | None = None
         self.longest_pause = 0.0
 
@@ -103,9 +103,9 @@
         :param source: the engine to copy cached prompt parts from, if any.
         """
         now = trio.current_time()
-        run.fetched_at = now
+        run.fetch_ends_at = now
         if source is not None and not source.is_down:
-            run.fetched_at = self._fetch(run, source, now)
+            run.fetch_ends_at = self._fetch(run, source, now)
         self._waiting.append(run)
         self._waiting.sort(key=lambda waiting: waiting.urgency)
         self._wake()
@@ -166,8 +166,10 @@
             self.ordered_version = None
 
     def _compute_idle_seconds(self, now: float) -> float:
-        later = [run.fetched_at - now for run in self._waiting if run.fetched_at > now]
-        return min(later, default=float("inf"))
+        fetch_seconds = [
+            run.fetch_ends_at - now for run in self._waiting if run.fetch_ends_at > now
+        ]
+        return min(fetch_seconds, default=float("inf"))
 
     def _fetch(self, run: Run, source: EmulatedEngine, now: float) -> float:
         """Copy the leading prompt parts that the source has cached.
@@ -193,15 +195,15 @@
             if len(self._running) >= self.shape.slots:
                 return
             used = sum(other.reserved_tokens for other in self._running)
-            is_too_much = used + run.reserved_tokens > self.shape.memory_tokens
-            if self._running and is_too_much:
+            exceeds_memory = used + run.reserved_tokens > self.shape.memory_tokens
+            if self._running and exceeds_memory:
                 return
-            if run.fetched_at > now:
+            if run.fetch_ends_at > now:
                 continue
             self._waiting.remove(run)
             if run.is_cancelled:
                 continue
-            run.unread = self._count_unread(run)
+            run.unread_tokens = self._count_unread(run)
             self._running.append(run)
 
     def _count_unread(self, run: Run) -> int:
@@ -210,18 +212,18 @@
         A cached part after one that is not cached is read too, since a prefix cache
         only serves an unbroken prefix.
         """
-        unread = run.prompt.parts[-1].tokens
+        unread_tokens = run.prompt.parts[-1].tokens
         has_gap = False
         for part in run.prompt.parts[:-1]:
             key = (run.salt, part.id)
             has_gap = has_gap or key not in self._cache
             if has_gap:
-                unread += part.tokens
+                unread_tokens += part.tokens
                 if key in self._ever_read:
                     self.tokens_read_again += part.tokens
                 self._ever_read.add(key)
             self._cache_part(key, part.tokens)
-        return unread
+        return unread_tokens
 
     def _cache_part(self, key: tuple[str, str], tokens: int) -> None:
         self._cache[key] = tokens
@@ -236,9 +238,9 @@
         """Read up to one chunk of the prompts; return how long it takes (seconds)."""
         budget = self.shape.chunk_tokens
         for run in self._running:
-            piece = min(budget, run.unread)
-            run.unread -= piece
-            budget -= piece
+            read_tokens = min(budget, run.unread_tokens)
+            run.unread_tokens -= read_tokens
+            budget -= read_tokens
         read = self.shape.chunk_tokens - budget
         self.tokens_read += read
         return read / self.shape.read_tokens_per_second
@@ -251,12 +253,12 @@
         for run in list(self._running):
             if run.is_cancelled:
                 self._running.remove(run)
-            elif not run.unread:
+            elif not run.unread_tokens:
                 self._generate_token(run, now)
 
     def _generate_token(self, run: Run, now: float) -> None:
-        if run.begun_at is None:
-            run.begun_at = run.last_event_at = now
+        if run.first_event_at is None:
+            run.first_event_at = run.last_event_at = now
             run.has_begun.set()
         run.tokens_left -= 1
         if run.tokens_left % self.shape.event_tokens == 0:
--- a/ashpond/emulator/experiments.py
+++ b/ashpond/emulator/experiments.py
@@ -18,7 +18,7 @@
     RequestKind,
     Scenario,
 )
-from ashpond.emulator.world import Outcome, run_scenario
+from ashpond.emulator.simulation import Outcome, run_scenario
 from ashpond.errors import InputError, InputProblem
 from ashpond.tables import load_toml
 
@@ -126,12 +126,12 @@
     if unknown:
         problem = InputProblem(path, f"{key}.{unknown[0]}", "", "unknown key")
         raise InputError([problem])
-    names = [
+    required = [
         field
         for field in target_type._fields
         if field not in target_type._field_defaults
     ]
-    for name in names:
+    for name in required:
         if name not in table:
             problem = InputProblem(path, f"{key}.{name}", "", "this key is required")
             raise InputError([problem])
@@ -164,14 +164,15 @@
     count = max(1, len(outcomes))
     spans: dict[int, list[Outcome]] = {}
     for outcome in outcomes:
-        spans.setdefault(int(outcome.asked_at // SPAN_SECONDS), []).append(outcome)
+        spans.setdefault(int(outcome.first_sent_at // SPAN_SECONDS), []).append(outcome)
     worst = sorted(_compute_earned_share(span) for span in spans.values())[:WORST_SPANS]
     return Figures(
         _compute_earned_share(outcomes),
         statistics.mean(worst) if worst else 1.0,
-        sum(o.first_after is not None and not o.is_in_time for o in outcomes) / count,
-        sum(o.first_after is None for o in outcomes) / count,
-        sum(o.has_paused for o in outcomes) / count,
+        sum(o.first_event_seconds is not None and not o.is_in_time for o in outcomes)
+        / count,
+        sum(o.first_event_seconds is None for o in outcomes) / count,
+        sum(o.has_long_pause for o in outcomes) / count,
         sum(o.is_stale for o in outcomes) / count,
     )
 
@@ -179,7 +180,7 @@
 def _compute_earned_share(outcomes: Sequence[Outcome]) -> float:
     total_worth = sum(outcome.kind.worth for outcome in outcomes)
     return (
-        sum(outcome.earned for outcome in outcomes) / total_worth
+        sum(outcome.earned_worth for outcome in outcomes) / total_worth
         if total_worth
         else 1.0
     )
--- a/ashpond/emulator/instances.py
+++ b/ashpond/emulator/instances.py
@@ -30,15 +30,15 @@
 from ashpond.decisions.knowledge import Knowledge
 from ashpond.decisions.prompts import Prompt
 from ashpond.decisions.quarantine import CrashRecords
-from ashpond.emulator.engines import EmulatedEngine
-from ashpond.emulator.permits import EmulatedCoordinator
-from ashpond.emulator.scenarios import Scenario
-from ashpond.emulator.wire import (
+from ashpond.emulator.connections import (
     EmulatedPool,
     build_codec,
     build_engine_port,
     make_address,
 )
+from ashpond.emulator.engines import EmulatedEngine
+from ashpond.emulator.permits import EmulatedCoordinator
+from ashpond.emulator.scenarios import Scenario
 from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.callprogress import DispatchContext
 from ashpond.gateway.decisionlog import DecisionLog
@@ -121,7 +121,7 @@
         table,
         cache_index,
         CacheStores(),
-        make_domain(number),
+        make_failure_domain(number),
         lambda: knowledge.declaration,
         knowledge.find_required_version,
         find_required_version,
@@ -163,7 +163,7 @@
     )
 
 
-def make_domain(number: int) -> str:
+def make_failure_domain(number: int) -> str:
     """Return the failure domain of an instance or engine."""
     return f"d{number % FAILURE_DOMAINS}"
 
@@ -195,7 +195,7 @@
             id=name,
             service=SERVICE,
             address=make_address(name),
-            failure_domain=make_domain(number),
+            failure_domain=make_failure_domain(number),
             slots=environment.scenario.shape.slots,
             is_draining=False,
             cold_seconds=0.0,
--- a/ashpond/emulator/world.py
+++ b/ashpond/emulator/simulation.py
@@ -13,6 +13,7 @@
 from ashpond.decisions.cacheindex import CacheEntry
 from ashpond.decisions.declared import Route, RouteKind, ServiceShare, WeightTarget
 from ashpond.decisions.prompts import Prompt, PromptPart
+from ashpond.emulator.connections import EmulatedPool, RequestRecords
 from ashpond.emulator.engines import EmulatedEngine, Run
 from ashpond.emulator.instances import (
     MODEL,
@@ -23,7 +24,6 @@
 )
 from ashpond.emulator.permits import EmulatedCoordinator
 from ashpond.emulator.scenarios import Crash, EngineStatement, RequestKind, Scenario
-from ashpond.emulator.wire import EmulatedPool, RequestRecords
 from ashpond.fleet.updates import ServerNotice
 from ashpond.gateway.admission import AcceptedCall
 from ashpond.gateway.calls import Envelope, Headers, IncomingCall
@@ -42,31 +42,31 @@
 class Outcome(NamedTuple):
     """The result of one request, over all tries of its client (seconds).
 
-    ``first_after`` is the time from the first try to the first event of the answer,
-    None if the request was not served. ``refused_seconds`` is the total duration of the
-    tries that brought no whole answer. ``is_stale`` answers began on weights that had
-    been replaced.
+    ``first_event_seconds`` is the time from the first try to the first event of the
+    answer, None if the request was not served. ``refused_seconds`` is the total
+    duration of the tries that brought no whole answer. ``is_stale`` answers began on
+    weights that had been replaced.
     """
 
     kind: RequestKind
-    asked_at: float
-    first_after: float | None
+    first_sent_at: float
+    first_event_seconds: float | None
     tries: int
     refused_seconds: float
-    has_paused: bool
+    has_long_pause: bool
     is_stale: bool
 
     @property
     def is_in_time(self) -> bool:
         """Whether the answer came within its objective, without long pauses."""
-        if self.first_after is None or self.has_paused:
+        if self.first_event_seconds is None or self.has_long_pause:
             return False
-        return self.first_after <= self.kind.objective
+        return self.first_event_seconds <= self.kind.objective
 
     @property
-    def earned(self) -> float:
+    def earned_worth(self) -> float:
         """The worth of the answer, at most ``kind.worth``."""
-        if self.first_after is None:
+        if self.first_event_seconds is None:
             return 0.0
         share = 1.0 if self.is_in_time else self.kind.late_share
         return self.kind.worth * (share - STALE_SHARE * self.is_stale)
@@ -134,7 +134,7 @@
         self.instances = [
             build_instance(n, environment) for n in range(scenario.instances)
         ]
-        self._count = 0
+        self._request_count = 0
 
     async def run(self) -> list[Outcome]:
         """Run to the end; return the outcomes in the order in which requests ended."""
@@ -153,11 +153,11 @@
                 for statement in self.scenario.statements:
                     nursery.start_soon(self._apply_statement, statement)
                 for kind in self.scenario.kinds:
-                    nursery.start_soon(self._send_all, kind, nursery)
+                    nursery.start_soon(self._send_requests, kind, nursery)
             background.cancel_scope.cancel()
         return self.outcomes
 
-    async def _send_all(self, kind: RequestKind, nursery: trio.Nursery) -> None:
+    async def _send_requests(self, kind: RequestKind, nursery: trio.Nursery) -> None:
         while True:
             await trio.sleep(self.rng.expovariate(kind.per_second))
             if trio.current_time() > self.scenario.seconds:
@@ -165,22 +165,22 @@
             nursery.start_soon(self._run_client, kind, self._build_prompt(kind))
 
     def _build_prompt(self, kind: RequestKind) -> Prompt:
-        self._count += 1
+        self._request_count += 1
         subject = self.rng.randrange(kind.subjects)
         own = max(1, round(self.rng.expovariate(1 / kind.own_tokens)))
         parts = (
             PromptPart(f"{kind.name}", kind.common_tokens),
             PromptPart(f"{kind.name}/{subject}", kind.subject_tokens),
-            PromptPart(f"own/{self._count}", own),
+            PromptPart(f"own/{self._request_count}", own),
         )
         tokens = sum(part.tokens for part in parts)
         return Prompt(MODEL, tokens, kind.output_tokens, parts)
 
     async def _run_client(self, kind: RequestKind, prompt: Prompt) -> None:
-        asked_at = trio.current_time()
+        first_sent_at = trio.current_time()
         refused_seconds = 0.0
         tries = 0
-        served_at: float | None = None
+        first_event_at: float | None = None
         while tries <= kind.retries:
             tries += 1
             request_id = f"{prompt.parts[-1].id}/{tries}"
@@ -188,18 +188,20 @@
             began = trio.current_time()
             reply = await self._send_attempt(kind, prompt, request_id, began)
             if reply.is_whole and reply.status == 200:
-                served_at = reply.first_at
+                first_event_at = reply.first_at
                 break
             refused_seconds += trio.current_time() - began
             if reply.retry_after is None:
                 break
             await trio.sleep(reply.retry_after)
-        first_after = None if served_at is None else served_at - asked_at
+        first_event_seconds = (
+            None if first_event_at is None else first_event_at - first_sent_at
+        )
         runs = self.records.runs.get(request_id, [])
         outcome = Outcome(
             kind,
-            asked_at,
-            first_after,
+            first_sent_at,
+            first_event_seconds,
             tries,
             refused_seconds,
             _find_longest_pause(runs) > kind.longest_pause,
@@ -208,15 +210,15 @@
         self.outcomes.append(outcome)
 
     def _is_stale(self, request_id: str, runs: list[Run]) -> bool:
-        if not runs or runs[0].begun_at is None:
+        if not runs or runs[0].first_event_at is None:
             return False
         version = self.records.sent[request_id][1].weights_version or 0
-        counts = [
+        due_versions = [
             v
             for at, v in self.announced_versions
-            if at + STALE_AFTER < runs[0].begun_at
+            if at + STALE_AFTER < runs[0].first_event_at
         ]
-        return version < max(counts, default=0)
+        return version < max(due_versions, default=0)
 
     async def _send_attempt(
         self, kind: RequestKind, prompt: Prompt, request_id: str, now: float
@@ -318,8 +320,8 @@
     """
     longest = max((run.longest_pause for run in runs), default=0.0)
     for before, after in zip(runs, runs[1:], strict=False):
-        if before.last_event_at is not None and after.begun_at is not None:
-            longest = max(longest, after.begun_at - before.last_event_at)
+        if before.last_event_at is not None and after.first_event_at is not None:
+            longest = max(longest, after.first_event_at - before.last_event_at)
     return longest
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,7 +19,7 @@
     Scenario,
     StatementKind,
 )
-from ashpond.emulator.world import _Simulation, run_scenario
+from ashpond.emulator.simulation import _Simulation, run_scenario
 from ashpond.errors import InputError
 from tests.gateway_builders import make_prompt
 
@@ -192,14 +192,16 @@
     )
     clock = trio.testing.MockClock(autojump_threshold=0)
     trio.run(simulation.run, clock=clock)
-    limited, resting, leaving = (simulation.engines[f"e{n}"].arrivals for n in range(3))
-    arrivals = [at for at in limited if 7.0 <= at <= 16.0]
+    limited_arrivals, backoff_arrivals, leaving_arrivals = (
+        simulation.engines[f"e{n}"].arrivals for n in range(3)
+    )
+    arrivals = [at for at in limited_arrivals if 7.0 <= at <= 16.0]
     window_counts = [
         sum(1 for at in arrivals if end - 4.0 <= at <= end) for end in arrivals
     ]
     assert max(window_counts) <= 1.5 * 1.5 * 4 + 5
     assert len(arrivals) >= 0.7 * 1.5 * 9
-    assert not [at for at in leaving if at > 6.5]
+    assert not [at for at in leaving_arrivals if at > 6.5]
     # In each backoff of 3 s, each of the eight instances may still have two requests
     # on their way.
-    assert len([at for at in resting if 4.5 <= at <= 12.0]) <= 8 * 3 * 3
+    assert len([at for at in backoff_arrivals if 4.5 <= at <= 12.0]) <= 8 * 3 * 3
