--- a/ashpond/standins/__init__.py
+++ b/ashpond/standins/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the platform, the engines and plain services.
+"""Minimal substitutes for the platform, the engines and plain services.
 
-They serve the demo, the tests and the bench. They are no part of the router,
-and nothing in the router imports them.
+The demo, the tests and the benchmarks use them. They aren't part of the router,
+and no module of the router imports them.
 """
 
 from __future__ import annotations
--- a/ashpond/standins/engine.py
+++ b/ashpond/standins/engine.py
@@ -1,4 +1,4 @@
-"""The protocol side of the stand-in engine: completions, streams, orders."""
+"""HTTP interface of the stand-in engine: completions, streams, orders."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Stream:
-    """One answer that can be read again from any event."""
+    """An answer whose events can be read again from any event number."""
 
     def __init__(
         self, generation: Generation, payload: dict[str, Any], prompt: str, chat: bool
@@ -39,11 +39,14 @@
         self.created = int(time.time())
 
     def make_token(self, number: int) -> str:
-        """Return token ``number``, which depends on the prompt alone."""
+        """Return the text of token ``number``, which depends only on the prompt."""
         return f"{self.digest}.{number} "
 
     def make_event(self, name: str, number: int) -> bytes:
-        """Return event ``number``; the last one carries the token counts."""
+        """Return event ``number`` as server-sent event bytes.
+
+        The last event includes the token counts and is followed by ``[DONE]``.
+        """
         last = number == self.generation.count
         token = self.make_token(number)
         reason = "stop" if last else None
@@ -63,7 +66,7 @@
         return event
 
     def make_answer(self, name: str) -> dict[str, Any]:
-        """Return the whole answer at once."""
+        """Return the body of an answer that isn't streamed."""
         text = "".join(self.make_token(n + 1) for n in range(self.generation.count))
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self.chat:
@@ -75,7 +78,7 @@
         return body | {"usage": self.count_usage()}
 
     def count_usage(self) -> dict[str, Any]:
-        """Return the token counts in the form that clients know."""
+        """Return the token counts as the ``usage`` object of the OpenAI API."""
         prompt = self.generation.prompt_tokens
         cached = {"cached_tokens": self.cached_tokens}
         total = prompt + self.generation.count
@@ -88,7 +91,7 @@
 
     @property
     def cached_tokens(self) -> int:
-        """How many prompt tokens were found in the cache."""
+        """Number of prompt tokens that were found in the prefix cache."""
         return self.generation.cached_blocks * 128
 
     def _describe(self, name: str, kind: str) -> dict[str, Any]:
@@ -97,7 +100,10 @@
 
 
 def build_engine(options: EngineOptions, nursery: trio.Nursery) -> Any:
-    """Return the engine's application; its batches run in ``nursery``."""
+    """Return the engine's application.
+
+    :param nursery: runs the model, which must outlive single HTTP requests.
+    """
     app = make_app("engine")
     model = EngineModel(options)
     streams: dict[str, Stream] = {}
@@ -191,15 +197,15 @@
                 await stream.generation.changed.wait()
             if stream.generation.cancelled:
                 return
-            # More tokens are made while these are sent: only those whose events
-            # were put together here count as sent.
+            # More tokens are generated while these events are being sent. Only
+            # the tokens whose events are in this chunk count as sent.
             generated = stream.generation.generated
             ready = range(sent + 1, generated + 1)
             yield b"".join(stream.make_event(name, number) for number in ready)
             sent = generated
             if model.faults.cut_after and sent >= model.faults.cut_after:
                 model.faults.cut_after = 0
-                raise ConnectionResetError("told to cut the stream")
+                raise ConnectionResetError("injected fault cut_after: stream cut")
 
     @app.post("/v1/chat/completions")
     async def complete_chat() -> Response:
--- a/ashpond/standins/model.py
+++ b/ashpond/standins/model.py
@@ -1,4 +1,4 @@
-"""The inner working of the stand-in engine: queue, prefix cache, batches."""
+"""Simulation of an engine: request queue, prefix cache, prefill and decoding."""
 
 from __future__ import annotations
 
@@ -20,7 +20,14 @@
 
 
 class EngineOptions(NamedTuple):
-    """How large and fast the stand-in is; rates are in tokens a second."""
+    """Size and speed of the stand-in engine.
+
+    ``prefill_rate`` is in tokens per second, ``token_seconds`` is the time to decode
+    one token. ``report_lag`` and ``event_lag`` are the ages in seconds at which load
+    reports and cache events become visible. Orders with an old fencing token are
+    refused if ``checks_fencing`` is set. ``platform`` is the address from which
+    weights are loaded; if it is empty, nothing is downloaded.
+    """
 
     model: str = "m1"
     weights: str = "w1"
@@ -35,7 +42,13 @@
 
 
 class EngineFaults:
-    """Faults that tests and the bench switch on."""
+    """Faults that tests and benchmarks inject.
+
+    ``slow`` multiplies all durations, and ``lose_events`` is the probability that a
+    cache event is lost. ``drop_answers`` is the number of answers that are never
+    sent, ``cross_answers`` the number of answers sent with the ID of another
+    attempt, and ``cut_after`` the number of events after which a stream is cut once.
+    """
 
     def __init__(self) -> None:
         self.slow = 1.0
@@ -46,12 +59,16 @@
         self.drop_answers = 0
         self.cross_answers = 0
         self.cut_after = 0
-        # A prompt that holds this text ends the process, if it is not empty.
+        # If this isn't empty, a prompt that contains it makes the process exit.
         self.deadly_text = ""
 
 
 class Generation:
-    """One request in the engine, and the events that it has made so far."""
+    """A request in the engine and the number of tokens generated for it so far.
+
+    ``count`` is the number of tokens to generate. Requests with a lower ``rank``
+    are prefilled first.
+    """
 
     def __init__(self, prompt: tuple[int, ...], tokens: int, count: int, rank: int):
         self.prompt = prompt
@@ -65,18 +82,18 @@
         self.changed = trio.Event()
 
     def notify(self) -> None:
-        """Wake whoever waits for the next token."""
+        """Wake all tasks that wait for the next token or for the cancellation."""
         self.changed.set()
         self.changed = trio.Event()
 
     @property
     def finished(self) -> bool:
-        """Whether all tokens are made."""
+        """Whether all tokens have been generated."""
         return self.generated >= self.count
 
 
 class EngineModel:
-    """Serial prefill by priority, parallel decoding, a bounded prefix cache."""
+    """An engine with serial prefill by priority, parallel decoding and an LRU cache."""
 
     def __init__(self, options: EngineOptions):
         self.options = options
@@ -98,13 +115,13 @@
         self._rng = random.Random(7)
 
     def submit(self, generation: Generation) -> None:
-        """Queue one request."""
+        """Add a request to the queue."""
         self._arrivals += 1
         heapq.heappush(self._queue, (generation.rank, self._arrivals, generation))
         self._wake.set()
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Take requests from the queue for ever."""
+        """Process requests from the queue until cancelled."""
         while True:
             while not self._queue or self.running >= self.options.max_running:
                 self._wake = trio.Event()
@@ -162,11 +179,11 @@
             self._log_event(stored, removed)
 
     def import_blocks(self, blocks: list[int]) -> None:
-        """Take in blocks that another engine exported."""
+        """Add blocks that another engine exported to the cache."""
         self._store(tuple(blocks))
 
     def drop_cache(self) -> None:
-        """Empty the cache, as new weights or a restart do."""
+        """Empty the cache and log the removal, as loading new weights requires."""
         removed = list(self.cache)
         self.cache.clear()
         self._log_event([], removed)
@@ -182,7 +199,10 @@
         del self.events[:-MAX_EVENTS]
 
     def report(self) -> dict[str, Any]:
-        """Return the load as it was a lag ago."""
+        """Return the load as it was ``report_lag`` seconds ago.
+
+        Only ``draining`` and ``incarnation`` are always current.
+        """
         now = trio.current_time()
         waiting = [
             generation for _, _, generation in self._queue if not generation.cancelled
@@ -215,6 +235,6 @@
         return shown | urgent | {"age": now - at}
 
     def list_events(self, after: int) -> list[dict[str, Any]]:
-        """Return cache events that are old enough to be told."""
+        """Return events after number ``after`` that are at least ``event_lag`` old."""
         latest = trio.current_time() - self.options.event_lag
         return [e for e in self.events if e["seq"] > after and e["at"] <= latest]
--- a/ashpond/standins/platform.py
+++ b/ashpond/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: tables, objects, instance list, weight store."""
+"""Stand-in for the platform: tables, objects, instance list and weight store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PlatformState:
-    """All that the platform keeps, and the faults that are switched on."""
+    """Data that the platform stores and the faults that are switched on."""
 
     def __init__(self) -> None:
         self.rows: dict[str, dict[str, Any]] = {}
@@ -33,7 +33,10 @@
         self.list_lag = DEFAULT_LIST_LAG
 
     def transact(self, puts: list[dict[str, Any]]) -> dict[str, Any]:
-        """Apply all puts, or none and return the rows that stand in the way."""
+        """Apply all puts and return their versions.
+
+        If the version of any row differs, apply none and return those rows.
+        """
         now = trio.current_time()
         conflicts = {}
         for put in puts:
@@ -58,21 +61,21 @@
         return {"versions": versions}
 
     def read_row(self, key: str, now: float) -> dict[str, Any] | None:
-        """Return the row, unless it is absent or expired."""
+        """Return the row, or ``None`` if it is absent or has expired."""
         row = self.rows.get(key)
         if row is None or (row["expires"] is not None and row["expires"] <= now):
             return None
         return row
 
     def set_member(self, member: dict[str, Any]) -> None:
-        """Record what the scheduler knows; the list shows it after the lag."""
+        """Record an instance; the list shows the change after ``list_lag`` seconds."""
         known = self.members.get(member["address"])
         previous = known["now"] if known else None
         entry = {"now": member, "before": previous, "changed": trio.current_time()}
         self.members[member["address"]] = entry
 
     def list_members(self) -> list[dict[str, Any]]:
-        """Return the lagging list."""
+        """Return the instances as they were before changes younger than the lag."""
         shown = []
         for entry in self.members.values():
             fresh = trio.current_time() - entry["changed"] < self.list_lag
--- a/ashpond/standins/runner.py
+++ b/ashpond/standins/runner.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process."""
+"""Runs a stand-in as a process."""
 
 from __future__ import annotations
 
--- a/ashpond/standins/service.py
+++ b/ashpond/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service that counts each call by its id."""
+"""Stand-in for a plain service that counts how often each call ID is run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 def build_service(work_seconds: float = 0.005) -> Any:
-    """Return an application that runs calls and remembers which."""
+    """Return an application that runs calls and counts the runs of each call ID.
+
+    :param work_seconds: time that each call takes.
+    """
     app = make_app("service")
     runs: dict[str, int] = {}
     faults: dict[str, Any] = {"drop_answers": 0, "slow_seconds": 0.0}
--- a/ashpond/standins/tables.py
+++ b/ashpond/standins/tables.py
@@ -1,4 +1,4 @@
-"""A table store in memory, for tests: answers, changes, outages, lost answers."""
+"""In-memory table store for tests, with outages, lost answers and restores."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 )
 from ashpond.outcomes import Conflict, Done, Unavailable, Unknown
 
-STALE_ANSWER = Unknown("an answer from before the store came back")
+STALE_ANSWER = Unknown("the answer is from before the store was restored")
 
 
 class StoreCopy(NamedTuple):
-    """What a store may come back from."""
+    """Copy of a store's rows and versions, from which the store can be restored."""
 
     rows: dict[tuple[str, str], Row]
     removed: list[Row]
@@ -31,11 +31,11 @@
 
 
 class MemoryStore:
-    """Rows of all tables.
+    """Rows of all tables, with switches for faults.
 
-    ``era`` rises with each return from a copy. ``is_down`` refuses every call;
-    ``lose_answers`` carries writes out and then answers nothing; ``answer_seconds``
-    passes before each answer.
+    ``era`` increases with each restore from a copy. If ``is_down`` is set, every call
+    fails as unavailable. If ``lose_answers`` is set, writes are applied, but their
+    outcome is reported as unknown. Each answer takes ``answer_seconds``.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,11 @@
         self._changed = trio.Event()
 
     def build_port(self) -> Store:
-        """Return the operations as one instance calls them."""
+        """Return the store's operations for one instance.
+
+        An answer is replaced by ``STALE_ANSWER`` if its era is lower than the latest
+        one seen and its call was sent before that era was seen.
+        """
         era = StoreEra()
 
         def check_era(sent_at: float) -> bool:
@@ -82,13 +86,14 @@
         return Store(read, follow, write, era)
 
     def take_copy(self) -> StoreCopy:
-        """Return a copy of all rows as they are now."""
+        """Return a copy of the current rows, removals and versions."""
         return StoreCopy(dict(self.rows), list(self.removed), self.version, self.oldest)
 
     def restore_from(self, copy: StoreCopy) -> None:
-        """Lose what has been written since a copy; versions are given out again.
+        """Restore the rows of a copy and drop all later writes.
 
-        Calls that wait for a change get no answer, as their connections end.
+        The versions of the dropped writes are assigned again. Calls that wait for a
+        change end with an unknown outcome, as if their connections were closed.
         """
         self.rows = dict(copy.rows)
         self.removed = list(copy.removed)
@@ -99,7 +104,7 @@
         self._changed = trio.Event()
 
     def put(self, table: str, key: str, value: bytes | None) -> None:
-        """Write or remove a row, as someone else would."""
+        """Write a row, or remove it if ``value`` is ``None``, without conditions."""
         self.version += 1
         row = Row(table, key, value, self.version)
         if value is None:
@@ -111,7 +116,7 @@
         self._changed = trio.Event()
 
     def drop_history(self) -> None:
-        """Drop the changes so far; those who follow have to read anew."""
+        """Drop the change history, so that followers have to read the table again."""
         self.oldest = self.version
         self.removed.clear()
 
@@ -128,7 +133,10 @@
     async def follow(
         self, table: str, after: int, wait: float
     ) -> Done | HistoryLost | Unavailable | Unknown:
-        """Return the changes of a table as soon as there are any."""
+        """Return the changes of a table after version ``after``.
+
+        If there are none, wait for one for up to ``wait`` seconds.
+        """
         sent_at = trio.current_time()
         self.calls.append(f"follow {table}")
         await trio.sleep(self.answer_seconds)
@@ -147,7 +155,7 @@
     async def write(
         self, conditions: list[Condition], puts: list[Row]
     ) -> Done | Conflict | Unavailable | Unknown:
-        """Carry out a transaction."""
+        """Write all rows if every condition holds, else report a conflict."""
         self.calls.append("write")
         await trio.sleep(self.answer_seconds)
         if self.is_down:
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine keeps the protocol that it stands for."""
+"""Tests that the stand-in engine follows the protocol of a real engine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def stream_slowly(app: Any, body: bytes) -> str:
-    """Return a stream's text as a client takes it that makes each send slow."""
+    """Return the text of a stream sent to a client that is slow to read."""
     answer: list[bytes] = []
     requests = [{"type": "http.request", "body": body, "more_body": False}]
 
@@ -50,14 +50,14 @@
 
 
 async def test_a_slow_client_receives_every_event(autojump_clock: object) -> None:
-    """A graceful shutdown's test got 121 of 151 events beside a load of 24.
+    """Guards against tokens that the engine counts as sent without sending them.
 
-    Evidence: its steps, repeated beside a load of 25, gave three short streams
-    of 96, each a whole answer that ended with the error event "the stream was
-    cut too often"; with the engines held up for 12 ms again and again, 40 of
-    40. Instances counted nothing but gaps of one to three events, six for each
-    such stream. While a send lasts, the engine makes another token, and then
-    took it for sent.
+    The engine generates more tokens while a send is in progress. If it counts them
+    as sent, the stream has gaps of one to three events, and after six gaps a router
+    ends it with the error event "the stream was cut too often". A busy machine
+    causes this: 121 of 151 events arrived at a load of 24, 3 of 96 streams were cut
+    short at a load of 25, and 40 of 40 when engines were paused for 12 ms
+    repeatedly.
     """
     async with trio.open_nursery() as nursery:
         options = EngineOptions(token_seconds=TOKEN_SECONDS)
