--- a/ashpond/emulator/connections.py
+++ b/ashpond/emulator/connections.py
@@ -109,7 +109,7 @@
             await run.has_ended.wait()
         finally:
             run.is_cancelled = not run.has_ended.is_set()
-        if run.is_broken:
+        if run.has_failed:
             raise ChannelError("the engine crashed", is_sent=True)
         return b"id: 2\n\n"
 
@@ -161,7 +161,7 @@
             await run.has_begun.wait()
         finally:
             run.is_cancelled = not run.has_begun.is_set()
-        if run.is_broken:
+        if run.has_failed:
             raise ChannelError("the engine crashed", is_sent=True)
         return EmulatedResponse(200, statement_headers, run)
 
--- a/ashpond/emulator/engines.py
+++ b/ashpond/emulator/engines.py
@@ -46,7 +46,7 @@
         self.tokens_left = output_tokens
         self.has_begun = trio.Event()
         self.has_ended = trio.Event()
-        self.is_broken = False
+        self.has_failed = False
         self.is_cancelled = False
         self.first_event_at: float | None = None
         self.last_event_at: float | None = None
@@ -270,7 +270,7 @@
             run.has_ended.set()
 
     def _fail_run(self, run: Run) -> None:
-        run.is_broken = True
+        run.has_failed = True
         run.has_begun.set()
         run.has_ended.set()
 
--- a/ashpond/emulator/simulation.py
+++ b/ashpond/emulator/simulation.py
@@ -186,7 +186,7 @@
             request_id = f"{prompt.parts[-1].id}/{tries}"
             self.records.outputs[request_id] = kind.output_tokens
             began = trio.current_time()
-            reply = await self._send_attempt(kind, prompt, request_id, began)
+            reply = await self._send_request(kind, prompt, request_id, began)
             if reply.is_whole and reply.status == 200:
                 first_event_at = reply.first_at
                 break
@@ -220,7 +220,7 @@
         ]
         return version < max(due_versions, default=0)
 
-    async def _send_attempt(
+    async def _send_request(
         self, kind: RequestKind, prompt: Prompt, request_id: str, now: float
     ) -> _Reply:
         instance = self.rng.choice(self.instances)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -74,7 +74,7 @@
         await run.has_begun.wait()
         engine.order_weights(2, cuts_runs=False)
         await run.has_ended.wait()
-        assert (engine.version, run.is_broken) == (1, False)
+        assert (engine.version, run.has_failed) == (1, False)
         await trio.sleep(SHAPE.load_seconds + 0.1)
         nursery.cancel_scope.cancel()
     assert (engine.version, engine.has_cached("salt", "rules")) == (2, False)
