--- a/ashpond/fleet/intervals.py
+++ b/ashpond/fleet/intervals.py
@@ -12,15 +12,14 @@
     "choose_update_interval",
 ]
 
-# Shortest and longest interval between load updates to a peer in a flat fleet
-# (seconds).
+# Shortest interval between load updates to a peer in a flat fleet, and the longest one
+# in any fleet (seconds).
 UPDATE_SECONDS = 0.08
 HEARTBEAT_SECONDS = 0.6
-# The same shortest interval in groups, where an update between two instances takes up
-# to three steps (seconds).
+# Shortest interval in groups, and so the longest wait in each of the three steps from
+# one instance over two hubs to another (seconds).
 GROUP_UPDATE_SECONDS = 0.12
-# Longest delay of an update from one instance over two hubs to another on busy
-# machines (seconds).
+# Longest delay of an update over these three steps on busy machines (seconds).
 GROUP_LAG_SECONDS = 1.2
 # First delay before reconnecting, doubled up to the limit (seconds). Instances that
 # restart together can reach one another after some 0.1 s.
--- a/tests/test_exchange_groups.py
+++ b/tests/test_exchange_groups.py
@@ -239,9 +239,7 @@
 async def test_urgent_notices_are_sent_at_once_without_all_loads(
     autojump_clock: object,
 ) -> None:
-    """Otherwise, while weights load, a hub sends its members all loads 30 times a
-    second.
-    """
+    """Otherwise, while weights load, a hub sends its members all loads 30 times/s."""
     instance = Instance("i0", MemoryStore(), find_free_port(), mesh_limit=4)
     link = Link(PeerRole.EQUAL, "i1")
     instance.peers._own_members.append(link)
