--- a/tests/test_late_updates.py
+++ b/tests/test_late_updates.py
@@ -57,11 +57,11 @@
         self.queues: list[ReservationQueue] = []
         for number in range(INSTANCES):
             table = make_table(*servers)
-            queues = make_reservations(table)
-            queues._rng = random.Random(number)
-            queues._has_delayed_updates = lambda: samples
+            queue = make_reservations(table)
+            queue._rng = random.Random(number)
+            queue._has_delayed_updates = lambda: samples
             self.tables.append(table)
-            self.queues.append(queues)
+            self.queues.append(queue)
         self.read_until = dict.fromkeys((s.id for s in servers), 0.0)
         self.waits: list[float] = []
         self._steps: list[Step] = []
