--- a/ashpond/fleet/exchange.py
+++ b/ashpond/fleet/exchange.py
@@ -131,7 +131,7 @@
         return GROUP_LAG_SECONDS if self.links.group else 0.0
 
     def publish(self, update: TableUpdate) -> None:
-        """Send changes read from the store: a reader to all, another hub to its group."""
+        """Send changes from the store: readers to all, other hubs to their group."""
         scope = Scope.MEMBER if self.is_reader else Scope.GROUP
         self._forward(scope, self._sender_id, tables=[update])
 
