--- a/ashpond/cli.py
+++ b/ashpond/cli.py
@@ -66,7 +66,7 @@
 def serve(settings_file: str) -> None:
     """Run one instance with the settings file SETTINGS.
 
-    SIGINT or SIGTERM shuts it down once the calls in flight are finished.
+    SIGINT or SIGTERM lets it leave: calls in flight end whole.
     """
     from ashpond.application import Application
     from ashpond.logs import setup_logs
@@ -84,7 +84,7 @@
 @main.command()
 @click.argument("files", nargs=-1, required=True, metavar="FILE...")
 def check(files: tuple[str, ...]) -> None:
-    """Check configuration files together as one set, without applying them."""
+    """Check configuration files as a whole set, without applying them."""
     try:
         configuration = parse_configuration(read_files(files))
     except InputError as error:
@@ -111,7 +111,7 @@
     admin: str,
     token: str,
 ) -> None:
-    """Apply configuration files as one change: all of them or none."""
+    """Apply configuration files as one change, as a whole or not at all."""
     try:
         change: dict[str, str | None] = dict(read_files(files))
     except InputError as error:
@@ -162,16 +162,16 @@
 
 @main.group()
 def report() -> None:
-    """Show reports that cover all instances."""
+    """Report on all instances together."""
 
 
 @report.command()
 @admin_option
 @token_option
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
-@click.option("--html", metavar="FILE", help="Write a self-contained HTML page.")
+@click.option("--html", metavar="FILE", help="Write a page of its own.")
 def burn(admin: str, token: str, as_json: bool, html: str | None) -> None:
-    """Show how fast services consume their error budgets."""
+    """Show how fast services use up their error budgets."""
     from ashpond.burnreport import render_html, render_json, render_table
 
     answer = AdminClient(admin, token).get("/admin/burn")
@@ -190,9 +190,9 @@
 @click.argument("request_id", metavar="ID")
 @click.argument("logs", nargs=-1, type=click.File("r"), metavar="[LOG]...")
 def explain_id(request_id: str, logs: tuple[TextIO, ...]) -> None:
-    """Print the history of the request ID from decision logs, in order.
+    """Print the story of the request ID from decision logs, in order.
 
-    Reads the files LOG, or standard input. Lines of several instances may be mixed.
+    Reads the files LOG, or standard input; lines of several instances may be mixed.
     """
     from ashpond.gateway.explanations import explain_request, read_lines
 
@@ -221,7 +221,7 @@
 @main.command()
 @click.argument("logs", nargs=-1, type=click.File("r"), metavar="[LOG]...")
 def replay(logs: tuple[TextIO, ...]) -> None:
-    """Repeat the choices of backend servers in decision logs with the current rules.
+    """Make the choices of backend servers in decision logs again with today's rules.
 
     Prints each choice that would differ. Reads the files LOG, or standard input.
     """
@@ -237,7 +237,7 @@
 @main.command("lab")
 @click.argument("experiment_file", metavar="EXPERIMENT")
 def run_lab(experiment_file: str) -> None:
-    """Simulate the scenarios of the file EXPERIMENT and print a table of results."""
+    """Play the scenarios of the file EXPERIMENT in virtual time, and show a table."""
     from ashpond.emulator.experiments import load_experiment, measure, render_table
 
     try:
@@ -254,13 +254,13 @@
 
 @main.group()
 def gateway() -> None:
-    """Manage instances that serve routed calls."""
+    """Instances that serve routed calls."""
 
 
 @gateway.command("status")
 @click.argument("address", metavar="IP:PORT")
 def show_gateway_status(address: str) -> None:
-    """Show the state that the instance with the metrics address IP:PORT knows."""
+    """Show what the instance with the metrics address IP:PORT believes."""
     import httpx
     import orjson
 
@@ -276,11 +276,10 @@
 @click.argument("address", metavar="IP:PORT")
 @click.argument("fingerprint")
 def release_request(address: str, fingerprint: str) -> None:
-    """Release a request from quarantine at all instances.
+    """Let a quarantined request be sent again, at all instances.
 
-    IP:PORT is the metrics address of any instance. FINGERPRINT is the name of the
-    request in the status and the logs of the instances. A request that crashes servers
-    again is quarantined again.
+    IP:PORT is the metrics address of any instance, FINGERPRINT names the request as in
+    its status and its logs. If it ends servers again it is quarantined again.
     """
     import httpx
 
@@ -310,7 +309,7 @@
 @main.command("hash-key")
 @click.argument("key")
 def show_key_hash(key: str) -> None:
-    """Print the digest by which a team's KEY is declared."""
+    """Print the digest under which a team's KEY is declared."""
     from ashpond.configuration import hash_key
 
     click.echo(hash_key(key))
@@ -318,7 +317,7 @@
 
 @main.group()
 def standin() -> None:
-    """Run stand-ins for external systems, for the demo, tests and benchmarks only."""
+    """Stand-ins for outside systems; for the demo, tests and the bench only."""
 
 
 @standin.command("platform")
@@ -339,7 +338,7 @@
 @click.option("--max-running", default=8, show_default=True)
 @click.option("--cache-blocks", default=512, show_default=True)
 @click.option("--report-lag", default=0.2, show_default=True, help="Seconds.")
-@click.option("--ignores-fencing", is_flag=True, help="Accept any fencing number.")
+@click.option("--ignores-fencing", is_flag=True, help="Take any order.")
 @click.option("--platform", default="", metavar="IP:PORT", help="Weight store.")
 def standin_engine(
     address: str,
