--- a/ashpond/standins/model.py
+++ b/ashpond/standins/model.py
@@ -134,11 +134,11 @@
             nursery.start_soon(self._decode, generation)
 
     async def _prefill(self, generation: Generation) -> None:
-        generation.cached_blocks = self._match(generation.prompt)
+        generation.cached_blocks = self._count_cached_blocks(generation.prompt)
         uncached = self._count_uncached(generation)
         self.prefilled_tokens += uncached
         await self._wait_for_compute(uncached / self.options.prefill_rate)
-        self._store(generation.prompt)
+        self._add_to_cache(generation.prompt)
 
     async def _decode(self, generation: Generation) -> None:
         try:
@@ -156,10 +156,10 @@
             await trio.sleep(0.01)
 
     def _count_uncached(self, generation: Generation) -> int:
-        cached = self._match(generation.prompt) * BLOCK_TOKENS
+        cached = self._count_cached_blocks(generation.prompt) * BLOCK_TOKENS
         return max(1, generation.prompt_tokens - cached)
 
-    def _match(self, blocks: tuple[int, ...]) -> int:
+    def _count_cached_blocks(self, blocks: tuple[int, ...]) -> int:
         count = 0
         for block in blocks:
             if block not in self.cache:
@@ -167,7 +167,7 @@
             count += 1
         return count
 
-    def _store(self, blocks: tuple[int, ...]) -> None:
+    def _add_to_cache(self, blocks: tuple[int, ...]) -> None:
         stored = [block for block in blocks if block not in self.cache]
         for block in reversed(blocks):
             self.cache[block] = None
@@ -180,7 +180,7 @@
 
     def import_blocks(self, blocks: list[int]) -> None:
         """Add blocks that another engine exported to the cache."""
-        self._store(tuple(blocks))
+        self._add_to_cache(tuple(blocks))
 
     def drop_cache(self) -> None:
         """Empty the cache and log the removal, as loading new weights requires."""
