--- a/ashpond/emulator/connections.py
+++ b/ashpond/emulator/connections.py
@@ -34,7 +34,7 @@
 LIMIT = b"limit"
 LEAVING = b"leaving"
 DEFAULT_URGENCY = 5
-# The duration of a call to an engine that is no request for an answer (seconds).
+# The duration of a weights order, or of a report, at an engine (seconds).
 ORDER_SECONDS = 0.003
 
 
--- a/ashpond/emulator/scenarios.py
+++ b/ashpond/emulator/scenarios.py
@@ -1,4 +1,4 @@
-"""The settings of a simulation: engines, instances, clients, faults."""
+"""Settings of a simulation: engines, instances, clients and faults."""
 
 from __future__ import annotations
 
--- a/ashpond/emulator/simulation.py
+++ b/ashpond/emulator/simulation.py
@@ -244,7 +244,7 @@
     async def _cancel_late(
         self, kind: RequestKind, reply: _Reply, scope: trio.CancelScope
     ) -> None:
-        """Cancel a try, as clients do, if its first event takes too long."""
+        """Cancel a request whose first event takes longer than the client waits."""
         await trio.sleep(kind.patience)
         if reply.first_at is None:
             scope.cancel()
