--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -44,7 +44,7 @@
 
 def test_a_leaving_engine_gets_no_new_work(fleet):
     engine = fleet.engines[0]
-    fleet.tell_platform(engine.address, "backend_server", "leaving")
+    fleet.report_member_state(engine.address, "backend_server", "leaving")
     for instance in fleet.instances:
         wait_for(lambda i=instance: is_leaving(fleet, i, engine.name))
     before = count_prefilled(fleet, engine)
@@ -52,7 +52,7 @@
         body = make_body(messages=[{"role": "user", "content": f"{number} " * 300}])
         assert ask(fleet.instances[number % 3], body).status_code == 200
     assert count_prefilled(fleet, engine) == before
-    fleet.tell_platform(engine.address, "backend_server", "live")
+    fleet.report_member_state(engine.address, "backend_server", "live")
     wait_for(lambda: find_server(fleet, engine.name)["state"] == "usable")
 
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -19,8 +19,8 @@
 EXAMPLES = Path(__file__).parent.parent / "examples" / "khangai"
 ADMIN_TOKEN = "fleet-admin-token-0001"
 PEER_SECRET = "fleet-peer-secret-0001"
-START_SECONDS = 30.0
-STOP_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 20.0
 POLL_SECONDS = 0.05
 DOMAINS = ("ub-north", "ub-south", "ub-east", "ub-west")
 
@@ -101,7 +101,7 @@
             self.services.append(self._start_standin(f"settle-{number}", "service"))
         for process in (*self.engines, *self.services):
             self._wait_for(f"http://{process.address}/load")
-            self.tell_platform(process.address, "backend_server", "live")
+            self.report_member_state(process.address, "backend_server", "live")
         for number in range(1, options.instances + 1):
             self.instances.append(self.start_instance(number))
         for instance in self.instances:
@@ -137,10 +137,10 @@
             f"{self.options.settings_lines}"
         )
         popen = self._spawn(name, "serve", str(path))
-        self.tell_platform(peers, "instance", "live")
+        self.report_member_state(peers, "instance", "live")
         return Process(name, popen, callers, admin, peers)
 
-    def tell_platform(self, address: str, kind: str, state: str) -> None:
+    def report_member_state(self, address: str, kind: str, state: str) -> None:
         """Tell the platform's list what its scheduler would know."""
         assert self.platform is not None
         member = {"address": address, "kind": kind, "state": state}
@@ -152,7 +152,7 @@
         assert process is not None
         self.http.post(f"http://{process.address}/control/faults", json=faults)
 
-    def make_servers_file(self) -> str:
+    def render_servers_file(self) -> str:
         """Return the configuration file that declares the started servers."""
         parts = []
         groups = ((self.engines, "bid-reader"), (self.services, "settle-pub"))
@@ -170,7 +170,7 @@
     def apply(self) -> None:
         """Apply the configuration by the command that operators use."""
         servers = self.directory / "servers.toml"
-        servers.write_text(self.make_servers_file())
+        servers.write_text(self.render_servers_file())
         files = [str(path) for path in (*self.options.config_files, servers)]
         self.run_command("apply", *files, "--wait")
 
@@ -194,13 +194,13 @@
         """Wait until each instance is ready and hears of the others."""
         for instance in self.instances:
             self._wait_for(f"http://{instance.admin}/readyz")
-            end = time.monotonic() + START_SECONDS
-            while self.count_seen(instance) < len(self.instances):
+            end = time.monotonic() + START_TIMEOUT_SECONDS
+            while self.count_known_instances(instance) < len(self.instances):
                 if time.monotonic() > end:
                     raise RuntimeError(f"{instance.name} does not see the others")
                 time.sleep(POLL_SECONDS)
 
-    def count_seen(self, instance: Process) -> int:
+    def count_known_instances(self, instance: Process) -> int:
         """Return how many instances one of them knows."""
         return len(self.read_status(instance)["instances"])
 
@@ -235,7 +235,7 @@
             if process.popen.poll() is None:
                 process.popen.send_signal(signal.SIGCONT)
                 process.popen.send_signal(signal.SIGTERM)
-        end = time.monotonic() + STOP_SECONDS
+        end = time.monotonic() + STOP_TIMEOUT_SECONDS
         for process in started:
             try:
                 process.popen.wait(max(0.1, end - time.monotonic()))
@@ -259,7 +259,7 @@
             )
 
     def _wait_for(self, url: str) -> None:
-        end = time.monotonic() + START_SECONDS
+        end = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < end:
             with contextlib.suppress(httpx.HTTPError):
                 if self.http.get(url).status_code == httpx.codes.OK:
