--- a/tools/load.py
+++ b/tools/load.py
@@ -18,9 +18,9 @@
 
 MAX_MICROSECONDS = 120_000_000
 HISTOGRAM_DIGITS = 3
-CLIENT_SECONDS = 60.0
-RESEND_PAUSE_SECONDS = 0.1
-MAX_RESENDS = 3
+CLIENT_TIMEOUT_SECONDS = 60.0
+RETRY_PAUSE_SECONDS = 0.1
+MAX_RETRIES = 3
 OK = 200
 
 
@@ -52,7 +52,7 @@
     cached_tokens: int = 0
     whole: bool = False
     retry_after: float = 0.0
-    refused_in: float = 0.0
+    refusal_seconds: float = 0.0
     sends: int = 1
 
 
@@ -63,19 +63,19 @@
     results: list[Result] = []
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=200)
     async with httpx.AsyncClient(
-        limits=limits, timeout=CLIENT_SECONDS, trust_env=False
+        limits=limits, timeout=CLIENT_TIMEOUT_SECONDS, trust_env=False
     ) as client:
         start = trio.current_time() + 0.2
         async with trio.open_nursery() as nursery:
             for number, event in enumerate(events):
                 await trio.sleep_until(start + event.at / options.speed)
                 intended = start + event.at / options.speed
-                caller = _Caller(client, addresses, options, number, intended)
+                caller = _Client(client, addresses, options, number, intended)
                 nursery.start_soon(caller.call, event, results)
     return results
 
 
-class _Caller:
+class _Client:
     """One caller's request, sent again as the options say."""
 
     def __init__(
@@ -94,25 +94,25 @@
 
     async def call(self, event: Event, results: list[Result]) -> None:
         result = Result(event, time.time(), 0, "not_sent")
-        for attempt in range(1 + MAX_RESENDS):
-            result = await self._send_once(event, attempt)
-            if result.status == OK or not self._sends_again(result):
+        for attempt in range(1 + MAX_RETRIES):
+            result = await self._send_attempt(event, attempt)
+            if result.status == OK or not self._should_retry(result):
                 break
-            pause = RESEND_PAUSE_SECONDS
+            pause = RETRY_PAUSE_SECONDS
             if self._options.obey_retry_after:
                 pause = result.retry_after
             await trio.sleep(pause)
         results.append(result)
 
-    def _sends_again(self, result: Result) -> bool:
+    def _should_retry(self, result: Result) -> bool:
         if self._options.obey_retry_after:
             return result.retry_after > 0
         return self._options.resend_after > 0
 
-    async def _send_once(self, event: Event, attempt: int) -> Result:
+    async def _send_attempt(self, event: Event, attempt: int) -> Result:
         sent_at = time.time()
         base = Result(event, sent_at, 0, "timeout", sends=attempt + 1)
-        limit = self._options.resend_after or CLIENT_SECONDS
+        limit = self._options.resend_after or CLIENT_TIMEOUT_SECONDS
         began = trio.current_time()
         with trio.move_on_after(limit):
             try:
@@ -131,8 +131,8 @@
         async with request as response:
             if response.status_code != OK:
                 await response.aread()
-                refused_in = trio.current_time() - began
-                return _read_refusal(base, response, refused_in)
+                refusal_seconds = trio.current_time() - began
+                return _read_refusal(base, response, refusal_seconds)
             data = b""
             first = 0.0
             async for chunk in response.aiter_bytes():
@@ -185,7 +185,7 @@
         status=response.status_code,
         kind=error["type"],
         retry_after=(error["retry_after_ms"] or 0) / 1000,
-        refused_in=took,
+        refusal_seconds=took,
     )
 
 
