--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -22,7 +22,7 @@
 )
 from ashpond.identity import PrefixChain
 from tests.builders import make_candidate
-from tools.accounts import bound_hit_rate, hash_event, make_chain
+from tools.accounts import compute_max_hit_rate, hash_event_blocks, make_prefix_chain
 from tools.traces import TRACES, Event, load_trace
 
 ENGINES = [f"engine-{number}" for number in range(5)]
@@ -73,7 +73,7 @@
         load: Counter[str] = Counter()
         requests = [event for event in events if event.parts]
         for number, event in enumerate(requests):
-            chain = make_chain(event)
+            chain = make_prefix_chain(event)
             tokens = len(chain.blocks) * BLOCK_TOKENS
             name = self.choose(number % INSTANCES, chain, tokens)
             cached = self.engine_caches[name].match(chain.blocks)
@@ -100,7 +100,9 @@
     stated = OUTCOMES[trace]
     events = load_trace(TRACES / f"{trace}.jsonl")
     outcome = Replay("ashpond").run(events)
-    assert outcome.hit_rate >= stated["least_share_of_bound"] * bound_hit_rate(events)
+    assert outcome.hit_rate >= stated["least_share_of_bound"] * compute_max_hit_rate(
+        events
+    )
     assert outcome.wasted <= stated["most_wasted_tokens"]
     assert outcome.busiest_share <= stated["most_work_on_one_engine"]
 
@@ -118,4 +120,4 @@
 
 def test_an_event_has_the_block_hashes_that_engines_cache():
     event = next(e for e in load_trace(TRACES / "demo.jsonl") if e.parts)
-    assert make_chain(event).blocks == hash_event(event)
+    assert make_prefix_chain(event).blocks == hash_event_blocks(event)
--- a/tools/accounts.py
+++ b/tools/accounts.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-__all__ = ["bound_hit_rate", "count_wasted_tokens", "hash_event", "make_chain"]
+__all__ = [
+    "compute_max_hit_rate",
+    "count_wasted_tokens",
+    "hash_event_blocks",
+    "make_prefix_chain",
+]
 
 from collections.abc import Sequence
 from typing import Any
@@ -24,19 +29,19 @@
 WEIGHTS = "w1"
 
 
-def hash_event(event: Event) -> tuple[int, ...]:
+def hash_event_blocks(event: Event) -> tuple[int, ...]:
     """Return the block hashes under which engines cache an event's prompt."""
     salt = make_cache_salt(PrefixSeed(event.team, MODEL, WEIGHTS))
     return chain_blocks(salt, render_chat(make_messages(event))[0])
 
 
-def make_chain(event: Event) -> PrefixChain:
+def make_prefix_chain(event: Event) -> PrefixChain:
     """Return the prefix chain that an instance makes of an event's prompt."""
     text, ends = render_chat(make_messages(event))
     return hash_prompt(PrefixSeed(event.team, MODEL, WEIGHTS), text, ends)
 
 
-def bound_hit_rate(events: Sequence[Event]) -> float:
+def compute_max_hit_rate(events: Sequence[Event]) -> float:
     """Return the hit rate of one shared cache without limit that sees it all.
 
     Each distinct block is computed once, when it first comes; no placement can
@@ -47,7 +52,7 @@
     for event in events:
         if not event.parts:
             continue
-        blocks = hash_event(event)
+        blocks = hash_event_blocks(event)
         total += count_tokens(render_chat(make_messages(event))[0])
         hits += sum(block in seen for block in blocks) * BLOCK_TOKENS
         seen.update(blocks)
@@ -75,7 +80,7 @@
             held[engine].update(event["stored"])
             held[engine].difference_update(event["removed"])
             position += 1
-        blocks = hash_event(result.event)
+        blocks = hash_event_blocks(result.event)
         best = max(_count_leading(blocks, engine) for engine in held)
         wasted += max(0, best * BLOCK_TOKENS - result.cached_tokens)
     return wasted
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -16,7 +16,7 @@
 import httpx
 import trio
 
-from tools.accounts import bound_hit_rate, count_wasted_tokens
+from tools.accounts import compute_max_hit_rate, count_wasted_tokens
 from tools.fleet import Fleet, FleetOptions, Process
 from tools.load import LoadOptions, Result, run_load, summarize
 from tools.traces import TRACES, Event, load_trace
@@ -56,7 +56,7 @@
     return int(found[1]) / 1024 if found else 0.0
 
 
-def read_log(fleet: Fleet, engine: Process) -> Any:
+def read_cache_events(fleet: Fleet, engine: Process) -> Any:
     """Return an engine's cache events, none if it was killed."""
     try:
         return fleet.http.get(f"http://{engine.address}/control/log").json()
@@ -69,7 +69,7 @@
     events: list[Event],
     options: LoadOptions,
     fleet_options: FleetOptions,
-    disturb: Callable[[Fleet], Any] | None,
+    inject_fault: Callable[[Fleet], Any] | None,
 ) -> Run:
     """Replay a trace on a fresh deployment."""
     directory = Path(tempfile.mkdtemp(prefix="ashpond-bench-"))
@@ -77,10 +77,10 @@
         with Fleet(fleet_options._replace(policy=policy), directory) as fleet:
             before = read_metrics(fleet)
             began = time.monotonic()
-            results = trio.run(_run_disturbed, fleet, events, options, disturb)
+            results = trio.run(_run_with_fault, fleet, events, options, inject_fault)
             seconds = time.monotonic() - began
             after = read_metrics(fleet)
-            logs = [read_log(fleet, engine) for engine in fleet.engines]
+            logs = [read_cache_events(fleet, engine) for engine in fleet.engines]
             resident = max(read_resident_mb(i) for i in fleet.instances)
             used = {name: after[name] - before.get(name, 0.0) for name in after}
     finally:
@@ -89,20 +89,20 @@
     return Run(policy, results, seconds, wasted, used, resident)
 
 
-async def _run_disturbed(
+async def _run_with_fault(
     fleet: Fleet,
     events: list[Event],
     options: LoadOptions,
-    disturb: Callable[[Fleet], Any] | None,
+    inject_fault: Callable[[Fleet], Any] | None,
 ) -> list[Result]:
     addresses = [instance.address for instance in fleet.instances]
     async with trio.open_nursery() as nursery:
-        if disturb is not None:
-            nursery.start_soon(disturb, fleet)
+        if inject_fault is not None:
+            nursery.start_soon(inject_fault, fleet)
         return await run_load(addresses, events, options)
 
 
-def list_windows(results: list[Result]) -> list[float]:
+def list_window_p99s(results: list[Result]) -> list[float]:
     """Return the p99 of each five seconds of the trace, in milliseconds."""
     windows: dict[int, list[Result]] = {}
     for result in results:
@@ -112,7 +112,7 @@
     return [round(summarize(windows[number]).p99) for number in sorted(windows)]
 
 
-def describe(run: Run) -> dict[str, Any]:
+def collect_figures(run: Run) -> dict[str, Any]:
     """Return the figures of a run, by service and priority and in all."""
     groups: dict[str, list[Result]] = {}
     for result in run.results:
@@ -125,7 +125,7 @@
         "groups": {name: summarize(g)._asdict() for name, g in groups.items()},
         "model": summarize(model)._asdict(),
         "wasted_tokens": run.wasted_tokens,
-        "p99_of_5s_windows": list_windows(run.results),
+        "p99_of_5s_windows": list_window_p99s(run.results),
         "goodput_per_s": sum(r.whole for r in run.results) / run.seconds,
         "retries": used.get("retries", 0.0),
         "cpu_ms_per_request": 1000 * used["processor_seconds"] / len(run.results),
@@ -137,7 +137,7 @@
     }
 
 
-def show(figures: dict[str, Any]) -> None:
+def print_figures(figures: dict[str, Any]) -> None:
     """Print the figures of a run."""
     model = figures["model"]
     print(
@@ -158,7 +158,7 @@
         )
 
 
-def flood(events: list[Event], team: str) -> list[Event]:
+def add_flood(events: list[Event], team: str) -> list[Event]:
     """Return a trace in which one team asks 20 times as much, all of it new."""
     rng = random.Random(FLOOD_FACTOR)
     more: list[Event] = []
@@ -198,7 +198,7 @@
     path = path if path.exists() else TRACES / f"{given.trace}.jsonl"
     events = load_trace(path)
     if given.flood:
-        events = flood(events, given.flood)
+        events = add_flood(events, given.flood)
     options = LoadOptions(
         given.speed, given.resend_after, given.deadline_ms, given.obey_retry_after
     )
@@ -210,14 +210,14 @@
     )
     sample = f"cache_event_sample = {given.event_sample}\n"
     fleet = FleetOptions(engine_args=engine_args, settings_lines=sample)
-    bound = bound_hit_rate(events)
+    bound = compute_max_hit_rate(events)
     print(f"{path.stem}: {len(events)} requests, bound of the hit rate {bound:.1%}")
     runs = []
     for _ in range(given.rounds):
         for policy in given.policy or POLICIES:
             run = replay(policy, events, options, fleet, FAULTS[given.fault])
-            figures = describe(run) | {"bound": bound, "fault": given.fault}
-            show(figures)
+            figures = collect_figures(run) | {"bound": bound, "fault": given.fault}
+            print_figures(figures)
             runs.append(figures)
     if given.json:
         Path(given.json).write_text(json.dumps(runs, indent=1))
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -18,7 +18,7 @@
 from tools.traces import TRACES, Event, load_trace
 
 POLICIES = ("round-robin", "ashpond")
-COUNTS_SECONDS = 12.0
+COUNTERS_WRITE_SECONDS = 12.0
 
 
 async def replay(
@@ -51,7 +51,7 @@
             )
             if policy == "ashpond":
                 # Each instance writes its counts out every ten seconds.
-                time.sleep(COUNTS_SECONDS)
+                time.sleep(COUNTERS_WRITE_SECONDS)
                 print(fleet.run_command("status"))
                 print(fleet.run_command("report", "burn"))
             return results
@@ -59,7 +59,7 @@
         shutil.rmtree(directory)
 
 
-def show(policy: str, results: list[Result]) -> int:
+def print_figures(policy: str, results: list[Result]) -> int:
     """Print one line of figures; return the number of failures."""
     model = summarize([result for result in results if result.event.parts])
     failures = sum(not result.whole for result in results)
@@ -84,7 +84,7 @@
         policy: run_policy(policy, program, kills_engine=given.kill_engine)
         for policy in POLICIES
     }
-    failures = [show(policy, results) for policy, results in outcomes.items()]
+    failures = [print_figures(policy, results) for policy, results in outcomes.items()]
     sys.exit(1 if failures[-1] else 0)
 
 
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -13,7 +13,7 @@
 from tools.fleet import Fleet, Process
 
 FAULT_AT_SECONDS = 5.0
-Disturbance = Callable[[Fleet], Any]
+FaultInjector = Callable[[Fleet], Any]
 
 
 async def _post(process: Process | None, path: str, **body: Any) -> None:
@@ -34,7 +34,7 @@
     fleet.kill(fleet.engines[0])
 
 
-async def slow_engine(fleet: Fleet) -> None:
+async def slow_down_engine(fleet: Fleet) -> None:
     """Let the first engine work at a tenth of its speed."""
     await trio.sleep(FAULT_AT_SECONDS)
     await _post(fleet.engines[0], "/control/faults", slow=10.0)
@@ -46,24 +46,24 @@
         await _post(engine, "/control/faults", lose_events=0.33)
 
 
-async def report_late(fleet: Fleet) -> None:
+async def delay_load_reports(fleet: Fleet) -> None:
     """Let load reports be five seconds old."""
     for engine in fleet.engines:
         await _post(engine, "/control/faults", report_lag=5.0)
 
 
-async def stop_store(fleet: Fleet) -> None:
+async def stop_platform(fleet: Fleet) -> None:
     """Let the platform answer nothing any more."""
     await trio.sleep(FAULT_AT_SECONDS)
     await _post(fleet.platform, "/control/faults", outage=True)
 
 
-FAULTS: dict[str, Disturbance | None] = {
+FAULTS: dict[str, FaultInjector | None] = {
     "none": None,
     "crash": crash_engine,
     "kill": kill_engine,
-    "slow": slow_engine,
+    "slow": slow_down_engine,
     "gaps": lose_events,
-    "late-reports": report_late,
-    "store": stop_store,
+    "late-reports": delay_load_reports,
+    "store": stop_platform,
 }
