--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -47,11 +47,11 @@
     unit: str
 
 
-def time_per_call(work: Callable[[], Any], count: int) -> float:
+def time_per_call(operation: Callable[[], Any], count: int) -> float:
     """Return the processor seconds of one call."""
     began = time.process_time()
     for _ in range(count):
-        work()
+        operation()
     return (time.process_time() - began) / count
 
 
@@ -250,7 +250,7 @@
         shutil.rmtree(directory)
 
 
-def read_own(fleet: Fleet, instance: Process) -> dict[str, float]:
+def read_instance_metrics(fleet: Fleet, instance: Process) -> dict[str, float]:
     """Return one instance's metrics."""
     kept = fleet.instances
     fleet.instances = [instance]
@@ -263,9 +263,9 @@
 def measure_idle(fleet: Fleet) -> list[Slope]:
     """Measure what an instance uses while nothing is asked of it."""
     instance = fleet.instances[0]
-    before = read_own(fleet, instance)
+    before = read_instance_metrics(fleet, instance)
     time.sleep(IDLE_SECONDS)
-    after = read_own(fleet, instance)
+    after = read_instance_metrics(fleet, instance)
     used = {
         name: (after[name] - before.get(name, 0.0)) / IDLE_SECONDS for name in after
     }
@@ -298,26 +298,30 @@
 
     idle = measure_cost(fleet, instance, lambda n: time.sleep(0.02), REQUESTS)
     short = measure_cost(fleet, instance, lambda n: send(1), REQUESTS)
-    before = read_own(fleet, instance).get("stream_events", 0.0)
+    before = read_instance_metrics(fleet, instance).get("stream_events", 0.0)
     long = measure_cost(fleet, instance, lambda n: send(100), REQUESTS // 3)
-    chunks = read_own(fleet, instance)["stream_events"] - before
+    chunks = read_instance_metrics(fleet, instance)["stream_events"] - before
     per_chunk = chunks / (REQUESTS // 3)
     plain = measure_cost(fleet, instance, lambda n: claim(""), REQUESTS)
-    writes = read_own(fleet, instance)["store_write"]
+    writes = read_instance_metrics(fleet, instance)["store_write"]
     keyed = measure_cost(fleet, instance, lambda n: claim(f"key-{n}"), REQUESTS)
     time.sleep(0.5)
-    claimed = read_own(fleet, instance)["store_write"] - writes
+    claimed = read_instance_metrics(fleet, instance)["store_write"] - writes
     background = idle.processor / idle.seconds
 
     def net(cost: Cost) -> float:
-        return (cost.processor - background * cost.seconds) / cost.pieces * 1e3
+        return (cost.processor - background * cost.seconds) / cost.operations * 1e3
 
     return [
         Slope("a streamed request with 1 token", net(short), "ms"),
         Slope("a streamed chunk", (net(long) - net(short)) / (per_chunk - 2), "ms"),
         Slope("a plain call", net(plain), "ms"),
         Slope("a claim, on top", net(keyed) - net(plain), "ms"),
-        Slope("a claim: added latency", keyed.each - plain.each, "ms"),
+        Slope(
+            "a claim: added latency",
+            keyed.milliseconds_per_operation - plain.milliseconds_per_operation,
+            "ms",
+        ),
         Slope("a claim: platform writes", claimed / REQUESTS, "writes"),
         Slope("resident memory, after load", read_resident_mb(instance), "MB"),
     ]
@@ -326,26 +330,26 @@
 class Cost(NamedTuple):
     """What some pieces of work cost: processor and elapsed seconds."""
 
-    pieces: int
+    operations: int
     processor: float
     seconds: float
 
     @property
-    def each(self) -> float:
+    def milliseconds_per_operation(self) -> float:
         """Elapsed milliseconds of one piece."""
-        return self.seconds / self.pieces * 1e3
+        return self.seconds / self.operations * 1e3
 
 
 def measure_cost(
-    fleet: Fleet, instance: Process, work: Callable[[int], Any], count: int
+    fleet: Fleet, instance: Process, operation: Callable[[int], Any], count: int
 ) -> Cost:
     """Run pieces of work one after another and read the instance's use."""
-    before = read_own(fleet, instance)["processor_seconds"]
+    before = read_instance_metrics(fleet, instance)["processor_seconds"]
     began = time.monotonic()
     for number in range(count):
-        work(number)
+        operation(number)
     seconds = time.monotonic() - began
-    after = read_own(fleet, instance)["processor_seconds"]
+    after = read_instance_metrics(fleet, instance)["processor_seconds"]
     return Cost(count, after - before, seconds)
 
 
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -15,7 +15,7 @@
 from tools.fleet import ADMIN_TOKEN, Fleet, FleetOptions
 
 POLL_SECONDS = 0.01
-LIMIT_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 def apply_change(fleet: Fleet, number: int) -> int:
@@ -29,11 +29,11 @@
     return int(answer.json()["generation"])
 
 
-def wait_everywhere(fleet: Fleet, generation: int) -> float:
+def measure_propagation(fleet: Fleet, generation: int) -> float:
     """Return the seconds until every instance runs ``generation``."""
     began = time.monotonic()
     late = list(fleet.instances)
-    while late and time.monotonic() - began < LIMIT_SECONDS:
+    while late and time.monotonic() - began < TIMEOUT_SECONDS:
         late = [i for i in late if read_generation(fleet, i.admin) < generation]
         time.sleep(POLL_SECONDS)
     if late:
@@ -49,14 +49,14 @@
     return int(answer.json()["generation"])
 
 
-def measure(fleet: Fleet, rounds: int, *, store_stops: bool) -> list[float]:
+def measure(fleet: Fleet, rounds: int, *, with_store_outage: bool) -> list[float]:
     """Return the spread times of several changes."""
     times = []
     for number in range(rounds):
         generation = apply_change(fleet, number)
-        if store_stops:
+        if with_store_outage:
             fleet.set_faults(fleet.platform, outage=True)
-        times.append(wait_everywhere(fleet, generation))
+        times.append(measure_propagation(fleet, generation))
         fleet.set_faults(fleet.platform, outage=False)
     return times
 
@@ -72,7 +72,7 @@
     try:
         with Fleet(options, directory) as fleet:
             for stops in (False, True):
-                times = measure(fleet, given.rounds, store_stops=stops)
+                times = measure(fleet, given.rounds, with_store_outage=stops)
                 print(
                     f"{given.instances} instances, store "
                     f"{'just gone' if stops else 'up':9}: "
