--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -24,7 +24,7 @@
     assert done.stdout.startswith("ashpond, version")
 
 
-def test_a_process_of_the_file_starts_no_other(binary, tmp_path):
+def test_binary_starts_no_child_process_and_unpacks_nothing(binary, tmp_path):
     options = FleetOptions(instances=1, engines=1, services=1, program=(str(binary),))
     with Fleet(options, tmp_path) as fleet:
         instance = fleet.instances[0]
@@ -61,7 +61,7 @@
         return ""
 
 
-def test_a_descriptor_that_was_closed_after_it_was_listed_is_no_open_file():
+def test_a_descriptor_closed_after_listing_is_not_counted_as_open():
     """A connection of the instance ended between the list and the look at it."""
     read, write = os.pipe()
     descriptor = Path(f"/proc/self/fd/{read}")
--- a/tools/binary/build.py
+++ b/tools/binary/build.py
@@ -16,7 +16,13 @@
 VERSION = sys.version_info[:2]
 INTERPRETER = b"#!/usr/bin/env python%d.%d\n" % VERSION
 # Not needed to run, and large.
-LEFT_OUT = ("*.dist-info/RECORD", "**/tests", "**/test", "bin", "**/__pycache__")
+EXCLUDED_PATTERNS = (
+    "*.dist-info/RECORD",
+    "**/tests",
+    "**/test",
+    "bin",
+    "**/__pycache__",
+)
 EPOCH = (2026, 1, 1, 0, 0, 0)
 
 
@@ -34,7 +40,7 @@
     # Extension modules fit the interpreter that they were installed for.
     launcher = launcher.replace("NEEDED = (3, 11)", f"NEEDED = {tuple(VERSION)}")
     (STAGE / "__main__.py").write_text(launcher)
-    for pattern in LEFT_OUT:
+    for pattern in EXCLUDED_PATTERNS:
         for path in list(STAGE.glob(pattern)):
             shutil.rmtree(path) if path.is_dir() else path.unlink()
 
