--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -22,10 +22,10 @@
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     world = World(seed, folder, play)
     broken = trio.run(world.run, seconds)
-    served = sum(s.status == 200 and s.is_whole for s in world.seen)
-    kept = sum(s.way.uses > 0 for s in world.seen)
+    served = sum(s.status == 200 and s.is_whole for s in world.outcomes)
+    kept = sum(s.connection.uses > 0 for s in world.outcomes)
     line = (
-        f"seed {seed}: {served} of {len(world.seen)} served, "
+        f"seed {seed}: {served} of {len(world.outcomes)} served, "
         f"{kept} on used connections, {len(broken)} broken"
     )
     return (f"{line}, logs: {folder}" if broken else line), broken
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -10,9 +10,9 @@
 import trio
 
 KINDS = {"once": ("POST", "/n/"), "again": ("GET", "/i/"), "stream": ("POST", "/s/")}
-PATIENCE_SECONDS = 4.0
+REQUEST_TIMEOUT_SECONDS = 4.0
 # A client stays for this long after its patience, for an answer that says so.
-STAY_SECONDS = 1.5
+EXTRA_WAIT_SECONDS = 1.5
 
 
 class Ending(StrEnum):
@@ -33,21 +33,21 @@
     ending: Ending = Ending.GIVEN_UP
 
 
-class Way(NamedTuple):
+class ConnectionUse(NamedTuple):
     """The connection of a request, and what was before it (seconds).
 
-    ``life_began_at`` is the start of the process that the instance then was.
+    ``process_started_at`` is the start of the process that the instance then was.
     ``idle_limit`` is the newest limit at sending, ``uses`` the earlier requests.
     """
 
     instance: str = ""
-    life_began_at: float = 0.0
+    process_started_at: float = 0.0
     idle_before: float = 0.0
     idle_limit: float = 0.0
     uses: int = 0
 
 
-class Seen(NamedTuple):
+class Outcome(NamedTuple):
     """The end of one request, as its client saw it; status 0 for none."""
 
     request_id: str
@@ -59,16 +59,20 @@
     is_whole: bool
     ending: Ending
     ended_at: float
-    way: Way
+    connection: ConnectionUse
 
 
-async def ask(
-    address: str, kind: str, request_id: str, key: str, way: Way | None = None
-) -> Seen:
+async def send_request(
+    address: str,
+    kind: str,
+    request_id: str,
+    key: str,
+    connection: ConnectionUse | None = None,
+) -> Outcome:
     """Send one request on a connection of its own; return what came."""
     sent_at = trio.current_time()
     answer = Answer()
-    with trio.move_on_after(PATIENCE_SECONDS + STAY_SECONDS):
+    with trio.move_on_after(REQUEST_TIMEOUT_SECONDS + EXTRA_WAIT_SECONDS):
         host, port = address.split(":")
         try:
             stream = await trio.open_tcp_stream(host, int(port))
@@ -78,17 +82,24 @@
             async with stream:
                 conn = h11.Connection(h11.CLIENT)
                 answer = await exchange(stream, conn, kind, request_id, key)
-    return make_seen(request_id, kind, key, sent_at, answer, way or Way())
+    return make_outcome(
+        request_id, kind, key, sent_at, answer, connection or ConnectionUse()
+    )
 
 
-def make_seen(
-    request_id: str, kind: str, key: str, sent_at: float, answer: Answer, way: Way
-) -> Seen:
+def make_outcome(
+    request_id: str,
+    kind: str,
+    key: str,
+    sent_at: float,
+    answer: Answer,
+    connection: ConnectionUse,
+) -> Outcome:
     """Return the end of a request, which has come now."""
     is_whole = answer.ending is Ending.ANSWERED
     now = trio.current_time()
-    end = (answer.status, answer.body, is_whole, answer.ending, now, way)
-    return Seen(request_id, kind, key, sent_at, *end)
+    end = (answer.status, answer.body, is_whole, answer.ending, now, connection)
+    return Outcome(request_id, kind, key, sent_at, *end)
 
 
 async def exchange(
@@ -100,7 +111,7 @@
 ) -> Answer:
     """Send one request on a connection; return what came until patience ends."""
     status, body = 0, b""
-    with trio.move_on_after(PATIENCE_SECONDS + STAY_SECONDS):
+    with trio.move_on_after(REQUEST_TIMEOUT_SECONDS + EXTRA_WAIT_SECONDS):
         try:
             await stream.send_all(_make_request(conn, kind, request_id, key))
             while True:
@@ -128,7 +139,7 @@
     headers = [
         ("Host", "a.example"),
         ("X-Request-Id", request_id),
-        ("X-Deadline-Ms", str(int(PATIENCE_SECONDS * 1000))),
+        ("X-Deadline-Ms", str(int(REQUEST_TIMEOUT_SECONDS * 1000))),
         ("Authorization", f"Token {key}"),
         ("Content-Length", str(len(body))),
     ]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -24,8 +24,8 @@
 DOWN_SECONDS = (0.0, 0.5)
 # How old the copy is from which a store comes back, and when it has been told again.
 COPY_AGE_SECONDS = (0.2, 4.0)
-WRITTEN_AGAIN_SECONDS = (0.0, 0.5)
-SILENT_SHARE = 0.5
+REWRITE_SECONDS = (0.0, 0.5)
+UNNOTICED_SHARE = 0.5
 # Limits that a site may set (ms). The long ones outlast the close of an instance
 # that leaves, 2.6 s after the signal.
 IDLE_LIMITS_MS = (300, 3000)
@@ -54,7 +54,7 @@
             self._terminate,
             self._take_store_down,
             self._remove_key,
-            self._forget_history,
+            self._drop_history,
         ]
         while True:
             await self._rng.choice(faults)(self._rng.uniform(*FAULT_SECONDS))
@@ -94,12 +94,12 @@
         self._world.remove_key(self._rng)
         await trio.sleep(seconds)
 
-    async def _forget_history(self, seconds: float) -> None:
+    async def _drop_history(self, seconds: float) -> None:
         self._world.memory.drop_history()
         await trio.sleep(seconds)
 
 
-class Returns:
+class StoreRestores:
     """A store that goes away and comes back from a copy some seconds old."""
 
     def __init__(self, world: World, rng: random.Random):
@@ -117,16 +117,16 @@
             known = memory.version
             memory.restore_from(copy)
             memory.is_down = False
-            if self._rng.random() < SILENT_SHARE:
+            if self._rng.random() < UNNOTICED_SHARE:
                 # A key is removed, and the version that was known is reached again,
                 # before anybody asks.
                 self._world.remove_key(self._rng)
-                self._world.write_again()
+                self._world.rewrite_entries()
                 while memory.version <= known:
                     memory.put("other", "beat", b"x")
                 continue
-            await trio.sleep(self._rng.uniform(*WRITTEN_AGAIN_SECONDS))
-            self._world.write_again()
+            await trio.sleep(self._rng.uniform(*REWRITE_SECONDS))
+            self._world.rewrite_entries()
 
 
 class Series:
@@ -139,12 +139,12 @@
     async def run(self) -> None:
         """Play series until cancelled; restarts go on beside the next series."""
         series = [
-            self._pause_again,
-            self._pause_again,
+            self._pause_repeatedly,
+            self._pause_repeatedly,
             self._pause_many,
             self._terminate_several,
             self._kill,
-            self._hang_up,
+            self._send_hangups,
             self._change_limits,
             self._change_limits,
             self._change_timeouts,
@@ -159,7 +159,7 @@
         await trio.sleep(self._rng.uniform(*PAUSE_SECONDS))
         instance.send(signal.SIGCONT)
 
-    async def _pause_again(self, nursery: trio.Nursery) -> None:
+    async def _pause_repeatedly(self, nursery: trio.Nursery) -> None:
         instance = self._rng.choice(self._world.instances)
         for _ in range(self._rng.randint(*PAUSES)):
             await self._pause(instance)
@@ -174,7 +174,7 @@
 
     async def _terminate_several(self, nursery: trio.Nursery) -> None:
         """Let up to three leave within a second, each held up while it closes."""
-        for instance in self._pick_up(3):
+        for instance in self._pick_running(3):
             down = self._rng.uniform(*DOWN_SECONDS)
             nursery.start_soon(instance.restart, signal.SIGTERM, down)
             nursery.start_soon(self._pause_while_leaving, instance)
@@ -187,12 +187,12 @@
             await trio.sleep(self._rng.uniform(*BETWEEN_PAUSES_SECONDS))
 
     async def _kill(self, nursery: trio.Nursery) -> None:
-        for instance in self._pick_up(1):
+        for instance in self._pick_running(1):
             down = self._rng.uniform(*DOWN_SECONDS)
             nursery.start_soon(instance.restart, signal.SIGKILL, down)
         await trio.sleep(self._rng.uniform(*BETWEEN_STEPS_SECONDS))
 
-    async def _hang_up(self, nursery: trio.Nursery) -> None:
+    async def _send_hangups(self, nursery: trio.Nursery) -> None:
         for _ in range(self._rng.randint(*STEPS)):
             for instance in self._world.instances:
                 if instance.is_up:
@@ -215,7 +215,7 @@
             self._world.remove_key(self._rng)
             await trio.sleep(self._rng.uniform(*BETWEEN_STEPS_SECONDS))
 
-    def _pick_up(self, count: int) -> list[Instance]:
+    def _pick_running(self, count: int) -> list[Instance]:
         """Return instances that are up; one half is never restarted by series."""
         is_up = [instance for instance in self._world.instances if instance.is_up]
         spare = len(is_up) - len(self._world.instances) // 2
--- a/tests/soak/instances.py
+++ b/tests/soak/instances.py
@@ -19,7 +19,7 @@
 GRACE_SECONDS = 4.0
 
 
-class Sent(NamedTuple):
+class SentSignal(NamedTuple):
     """One signal, and when it was sent on the soak's clock."""
 
     at: float
@@ -51,7 +51,7 @@
         self.started_at = 0.0
         self.answered_at = 0.0
         self.is_restarting = False
-        self.signals: list[Sent] = []
+        self.signals: list[SentSignal] = []
 
     @property
     def is_up(self) -> bool:
@@ -74,7 +74,7 @@
     def send(self, number: int) -> None:
         """Send a signal, if the process is there."""
         if self.process is not None and self.process.poll() is None:
-            self.signals.append(Sent(trio.current_time(), signal.Signals(number)))
+            self.signals.append(SentSignal(trio.current_time(), signal.Signals(number)))
             self.process.send_signal(number)
 
     async def stop(self, number: int) -> None:
@@ -100,12 +100,12 @@
             self.start()
             self.is_restarting = False
 
-    def find_sent(self, number: int, since: float, until: float) -> Sent | None:
+    def find_signal(self, number: int, since: float, until: float) -> SentSignal | None:
         """Return the first signal of this number in a time."""
         sent = (s for s in self.signals if since <= s.at <= until)
         return next((s for s in sent if s.number == number), None)
 
-    def find_last(self, until: float) -> Sent | None:
+    def find_last_signal(self, until: float) -> SentSignal | None:
         """Return the last signal up to a time."""
         return next((s for s in reversed(self.signals) if s.at <= until), None)
 
@@ -113,14 +113,14 @@
         """Return for how long of a time the process was stopped by SIGSTOP."""
         seconds = 0.0
         stopped_at: float | None = None
-        end = Sent(until, signal.SIGCONT)
+        end = SentSignal(until, signal.SIGCONT)
         for sent in [*(s for s in self.signals if s.at < until), end]:
             if sent.number == signal.SIGSTOP:
                 stopped_at = sent.at if stopped_at is None else stopped_at
-            elif stopped_at is not None and sent.number in ENDS_OF_STOP:
+            elif stopped_at is not None and sent.number in RESUMING_SIGNALS:
                 seconds += max(0.0, sent.at - max(stopped_at, since))
                 stopped_at = None
         return seconds
 
 
-ENDS_OF_STOP = (signal.SIGCONT, signal.SIGKILL)
+RESUMING_SIGNALS = (signal.SIGCONT, signal.SIGKILL)
--- a/tests/soak/keepers.py
+++ b/tests/soak/keepalive.py
@@ -12,7 +12,13 @@
 import trio
 
 from ashpond.gateway.application import LEAVE_SECONDS
-from tests.soak.clients import Ending, Way, choose_kind, exchange, make_seen
+from tests.soak.clients import (
+    ConnectionUse,
+    Ending,
+    choose_kind,
+    exchange,
+    make_outcome,
+)
 from tests.soak.instances import Instance
 
 if TYPE_CHECKING:
@@ -21,11 +27,11 @@
 # Idle times go a little over the limit, as some clients know an older one.
 LONGEST_SHARE = 1.1
 # Clients that know the newest limit use a connection up to four fifths of it.
-KNOWING_SHARES = (0.5, 0.8)
+WITHIN_LIMIT_SHARES = (0.5, 0.8)
 # Around the end of a limit (seconds): most before it, so that they are still taken.
 EDGE_SECONDS = (-0.2, 0.03)
 # Steps in which a waiting client looks for newer limits and signals.
-LOOK_SECONDS = 0.01
+POLL_SECONDS = 0.01
 RECONNECT_SECONDS = 0.1
 # Connections that are opened before there is a request for them, as pools do.
 OPENED_EARLY_SHARE = 0.3
@@ -33,7 +39,7 @@
 Idle = Callable[[Instance, float, float], Awaitable[None]]
 
 
-class Keeper:
+class KeepAliveClient:
     """One client; it takes another connection only if the one it has was ended."""
 
     def __init__(self, world: World, rng: random.Random):
@@ -44,7 +50,7 @@
         """Use one connection after the other until cancelled."""
         while True:
             instance = self._rng.choice(self._world.instances)
-            way = Way(instance.name, instance.started_at)
+            connection = ConnectionUse(instance.name, instance.started_at)
             host, port = instance.address.split(":")
             try:
                 stream = await trio.open_tcp_stream(host, int(port))
@@ -52,35 +58,35 @@
                 await trio.sleep(RECONNECT_SECONDS)
                 continue
             async with stream:
-                await self._use(stream, instance, way)
+                await self._use(stream, instance, connection)
 
     async def _use(
-        self, stream: trio.SocketStream, instance: Instance, way: Way
+        self, stream: trio.SocketStream, instance: Instance, connection: ConnectionUse
     ) -> None:
         conn = h11.Connection(h11.CLIENT)
         is_opened_early = self._rng.random() < OPENED_EARLY_SHARE
         while True:
             idle_since = trio.current_time()
-            if way.uses or is_opened_early:
+            if connection.uses or is_opened_early:
                 await self._idle(instance, idle_since)
             if has_ended(stream):
                 return
             idle = trio.current_time() - idle_since
             limit = self._world.idle_limit
-            way = way._replace(idle_before=idle, idle_limit=limit)
-            if not await self._ask(stream, conn, instance, way):
+            connection = connection._replace(idle_before=idle, idle_limit=limit)
+            if not await self._send_request(stream, conn, instance, connection):
                 return
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
             conn.start_next_cycle()
-            way = way._replace(uses=way.uses + 1)
+            connection = connection._replace(uses=connection.uses + 1)
 
-    async def _ask(
+    async def _send_request(
         self,
         stream: trio.SocketStream,
         conn: h11.Connection,
         instance: Instance,
-        way: Way,
+        connection: ConnectionUse,
     ) -> bool:
         kind = choose_kind(self._rng)
         # Half with the key that stays, or a long play's requests are mostly refused.
@@ -90,8 +96,8 @@
         request_id = self._world.make_id()
         sent_at = trio.current_time()
         answer = await exchange(stream, conn, kind, request_id, key)
-        seen = make_seen(request_id, kind, key, sent_at, answer, way)
-        self._world.note(seen, instance)
+        outcome = make_outcome(request_id, kind, key, sent_at, answer, connection)
+        self._world.note(outcome, instance)
         return answer.ending is Ending.ANSWERED
 
     async def _idle(self, instance: Instance, since: float) -> None:
@@ -99,7 +105,7 @@
         ways: list[Idle] = [
             self._idle_any,
             self._idle_to_edge,
-            self._idle_knowing,
+            self._idle_within_limit,
             self._idle_to_close,
         ]
         await self._rng.choice(ways)(instance, since, limit)
@@ -110,10 +116,10 @@
     async def _idle_to_edge(self, _: Instance, since: float, limit: float) -> None:
         await trio.sleep_until(since + limit + self._rng.uniform(*EDGE_SECONDS))
 
-    async def _idle_knowing(self, _: Instance, since: float, __: float) -> None:
-        share = self._rng.uniform(*KNOWING_SHARES)
+    async def _idle_within_limit(self, _: Instance, since: float, __: float) -> None:
+        share = self._rng.uniform(*WITHIN_LIMIT_SHARES)
         while trio.current_time() < since + self._world.idle_limit * share:
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(POLL_SECONDS)
 
     async def _idle_to_close(
         self, instance: Instance, since: float, limit: float
@@ -122,8 +128,8 @@
         early = self._rng.uniform(*EDGE_SECONDS)
         end = since + limit + early
         while (now := trio.current_time()) < end:
-            await trio.sleep(min(LOOK_SECONDS, end - now))
-            sent = instance.find_sent(signal.SIGTERM, instance.started_at, now)
+            await trio.sleep(min(POLL_SECONDS, end - now))
+            sent = instance.find_signal(signal.SIGTERM, instance.started_at, now)
             if sent is not None:
                 end = min(end, sent.at + LEAVE_SECONDS + early)
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -65,10 +65,10 @@
             reset(client)
             return
         async with client, server, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pass, client, server, True, nursery)
-            nursery.start_soon(self._pass, server, client, False, nursery)
+            nursery.start_soon(self._forward, client, server, True, nursery)
+            nursery.start_soon(self._forward, server, client, False, nursery)
 
-    async def _pass(
+    async def _forward(
         self,
         source: trio.SocketStream,
         sink: trio.SocketStream,
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -11,7 +11,7 @@
 from tests.servers import read_request
 
 if TYPE_CHECKING:
-    from tests.soak.statements import Phase
+    from tests.soak.directives import LimitPeriod
 
 EVENTS = 6
 EVENT_SECONDS = 0.03
@@ -27,7 +27,7 @@
     key_leaked: bool
 
 
-class Reached(NamedTuple):
+class Arrival(NamedTuple):
     """A request that reached a server, run or not."""
 
     at: float
@@ -35,13 +35,13 @@
     request_id: str
 
 
-class Told(NamedTuple):
+class IssuedDirective(NamedTuple):
     """What a server said of itself in the answer to a request."""
 
     at: float
     server: str
     request_id: str
-    statement: Directive
+    directive: Directive
 
 
 class Ledger:
@@ -49,9 +49,9 @@
 
     def __init__(self) -> None:
         self.runs: dict[str, list[Run]] = defaultdict(list)
-        self.reached: list[Reached] = []
-        self.told: list[Told] = []
-        self.phases: list[Phase] = []
+        self.arrivals: list[Arrival] = []
+        self.issued_directives: list[IssuedDirective] = []
+        self.limit_periods: list[LimitPeriod] = []
 
 
 def parse_headers(request: bytes) -> tuple[str, str, dict[str, str]]:
@@ -69,13 +69,13 @@
         self.server_id = server_id
         self.ledger = ledger
         # What it says of itself in its answers at present.
-        self.statement = NO_DIRECTIVE
-        self.is_speaking = False
+        self.directive = NO_DIRECTIVE
+        self.has_directive = False
 
-    def fall_silent(self) -> None:
+    def clear_directive(self) -> None:
         """Say nothing more of itself."""
-        self.statement = NO_DIRECTIVE
-        self.is_speaking = False
+        self.directive = NO_DIRECTIVE
+        self.has_directive = False
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Answer requests on one connection until it ends."""
@@ -94,21 +94,21 @@
             await stream.send_all((head + "Content-Length: 0\r\n\r\n").encode())
             return
         now = trio.current_time()
-        self.ledger.reached.append(Reached(now, self.server_id, request_id))
-        statement = self.statement
-        if statement != NO_DIRECTIVE:
-            told = Told(now, self.server_id, request_id, statement)
-            self.ledger.told.append(told)
-        if statement.status != 200:
-            head = f"HTTP/1.1 {statement.status} X\r\nX-Request-Id: {request_id}\r\n"
-            head += statement.format_headers() + "Content-Length: 0\r\n\r\n"
+        self.ledger.arrivals.append(Arrival(now, self.server_id, request_id))
+        directive = self.directive
+        if directive != NO_DIRECTIVE:
+            issued = IssuedDirective(now, self.server_id, request_id, directive)
+            self.ledger.issued_directives.append(issued)
+        if directive.status != 200:
+            head = f"HTTP/1.1 {directive.status} X\r\nX-Request-Id: {request_id}\r\n"
+            head += directive.format_headers() + "Content-Length: 0\r\n\r\n"
             await stream.send_all(head.encode())
             return
         leaked = "authorization" in headers
         run = Run(trio.current_time(), self.server_id, method, leaked)
         self.ledger.runs[request_id].append(run)
         head = f"HTTP/1.1 200 X\r\nX-Request-Id: {request_id}\r\n"
-        head += statement.format_headers()
+        head += directive.format_headers()
         if target.startswith("/s/"):
             await self._stream(stream, head, headers)
             return
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -19,17 +19,17 @@
 from tests.row_builders import ROUTE, SERVER
 from tests.servers import make_answer, read_request
 from tests.soak.checks import LEAST_SERVED, check
-from tests.soak.clients import Seen, Way, ask, choose_kind
-from tests.soak.faults import IDLE_LIMITS_MS, Faults, Returns, Series
+from tests.soak.clients import ConnectionUse, Outcome, choose_kind, send_request
+from tests.soak.directives import DirectivePlayer
+from tests.soak.faults import IDLE_LIMITS_MS, Faults, Series, StoreRestores
 from tests.soak.instances import Instance
-from tests.soak.keepers import Keeper
+from tests.soak.keepalive import KeepAliveClient
 from tests.soak.proxy import Harm, Proxy
 from tests.soak.servers import Ledger, Server
-from tests.soak.statements import Statements
 from tests.test_platform_store import answer_call
 
 # Instances that were restarted need a second or two, on a busy machine more.
-PATIENCE_SECONDS = 30.0
+RECOVERY_SECONDS = 30.0
 REQUEST_SECONDS = 0.04
 SINGLE_FAULTS = 2
 # Enough for the many removals of series, while some are left to be served.
@@ -57,7 +57,7 @@
         self.folder = folder
         self.memory = MemoryStore()
         self.ledger = Ledger()
-        self.seen: list[Seen] = []
+        self.outcomes: list[Outcome] = []
         self.removed_keys: dict[str, float] = {}
         self.gone_servers: dict[str, float] = {}
         self.store_proxies: list[Proxy] = []
@@ -71,7 +71,7 @@
         self._instance_count = self.play.instances or (3 if seed % 2 else 5)
         self._version = 1
         self._requests = 0
-        self.begun_at = 0.0
+        self.faults_started_at = 0.0
         self.keys = ["k1", "k2", "k3", "k4"]
         # Its own, so that the single faults of a seed stay the same.
         self._series_rng = random.Random(f"series {seed}")
@@ -108,7 +108,7 @@
         return check(self, settled)
 
     async def _play(self) -> None:
-        self.begun_at = trio.current_time()
+        self.faults_started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_requests)
             for _ in range(SINGLE_FAULTS):
@@ -116,11 +116,11 @@
             for _ in range(self.play.series):
                 nursery.start_soon(Series(self, self._fork_rng()).run)
             if self.play.returns:
-                nursery.start_soon(Returns(self, self._fork_rng()).run)
+                nursery.start_soon(StoreRestores(self, self._fork_rng()).run)
             for _ in range(self.play.statements):
-                nursery.start_soon(Statements(self, self._fork_rng()).run)
+                nursery.start_soon(DirectivePlayer(self, self._fork_rng()).run)
             for _ in range(self.play.keepers):
-                nursery.start_soon(Keeper(self, self._fork_rng()).run)
+                nursery.start_soon(KeepAliveClient(self, self._fork_rng()).run)
 
     def _fork_rng(self) -> random.Random:
         return random.Random(self._series_rng.random())
@@ -203,7 +203,7 @@
         }
         self.memory.put(OPERATOR_TABLE, "config", orjson.dumps(table))
 
-    def write_again(self) -> None:
+    def rewrite_entries(self) -> None:
         """Write what the operator and the servers wrote, as the store may lack it."""
         self._write_configuration()
         for server_id, entry in self._entries.items():
@@ -238,7 +238,7 @@
     async def _wait_until_served(self) -> None:
         with trio.fail_after(60):
             for instance in self.instances:
-                while (await self._ask(instance, "again")).status != 200:
+                while (await self._send_request(instance, "again")).status != 200:
                     await trio.sleep(0.1)
 
     def make_id(self) -> str:
@@ -246,20 +246,24 @@
         self._requests += 1
         return f"r{self._requests}"
 
-    def note(self, seen: Seen, instance: Instance) -> None:
+    def note(self, outcome: Outcome, instance: Instance) -> None:
         """Keep the end of a request for the checks."""
-        self.seen.append(seen)
-        self._note_answer(seen, instance)
-
-    def _note_answer(self, seen: Seen, instance: Instance) -> None:
-        if seen.is_whole:
-            instance.answered_at = max(instance.answered_at, seen.sent_at)
-
-    async def _ask(self, instance: Instance, kind: str, key: str = "k1") -> Seen:
-        way = Way(instance.name, instance.started_at)
-        seen = await ask(instance.address, kind, self.make_id(), key, way)
-        self._note_answer(seen, instance)
-        return seen
+        self.outcomes.append(outcome)
+        self._note_answer(outcome, instance)
+
+    def _note_answer(self, outcome: Outcome, instance: Instance) -> None:
+        if outcome.is_whole:
+            instance.answered_at = max(instance.answered_at, outcome.sent_at)
+
+    async def _send_request(
+        self, instance: Instance, kind: str, key: str = "k1"
+    ) -> Outcome:
+        connection = ConnectionUse(instance.name, instance.started_at)
+        outcome = await send_request(
+            instance.address, kind, self.make_id(), key, connection
+        )
+        self._note_answer(outcome, instance)
+        return outcome
 
     async def _send_requests(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -270,13 +274,15 @@
     async def _send_one(self) -> None:
         instance = self.rng.choice(self.instances)
         key = self.rng.choice(self.keys)
-        self.seen.append(await self._ask(instance, choose_kind(self.rng), key))
+        self.outcomes.append(
+            await self._send_request(instance, choose_kind(self.rng), key)
+        )
 
     async def _heal(self) -> None:
         self.memory.is_down = False
         for server in self.servers.values():
-            if not server.statement.is_leaving:
-                server.statement = NO_DIRECTIVE
+            if not server.directive.is_leaving:
+                server.directive = NO_DIRECTIVE
         for proxy in [*self.store_proxies, *self.server_proxies.values()]:
             proxy.harm = Harm.NONE
         for instance in self.instances:
@@ -286,7 +292,7 @@
 
     async def _await_service(self) -> float:
         """Return the share that is served, once it suffices or patience ends."""
-        with trio.move_on_after(PATIENCE_SECONDS):
+        with trio.move_on_after(RECOVERY_SECONDS):
             while await self._measure_service() < LEAST_SERVED:
                 await trio.sleep(0.5)
         return await self._measure_service()
@@ -297,8 +303,8 @@
         for instance in self.instances:
             for kind in ("once", "again", "stream"):
                 for _ in range(4):
-                    seen = await self._ask(instance, kind)
-                    self.seen.append(seen)
+                    outcome = await self._send_request(instance, kind)
+                    self.outcomes.append(outcome)
                     asked += 1
-                    served += seen.status == 200 and seen.is_whole
+                    served += outcome.status == 200 and outcome.is_whole
         return served / asked
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.soak.checks import find_lost
-from tests.soak.clients import Ending, Seen, Way
-from tests.soak.instances import Instance, Sent
+from tests.soak.clients import ConnectionUse, Ending, Outcome
+from tests.soak.instances import Instance, SentSignal
 from tests.soak.proxy import Harm, Proxy
 from tests.soak.servers import Ledger, Run
 from tests.soak.world import Play, World
@@ -26,53 +26,51 @@
 #       which its next request was read; the request was passed on and never answered.
 # 7022: an instance that heard no reader asked the store by a call that waited beyond
 #       the age at which keys are refused; 0.88 served after the faults.
-KEEPING_SEEDS = (6004, 6005, 7022)
-KEEPING_SECONDS = 10.0
+KEEP_ALIVE_SEEDS = (6004, 6005, 7022)
+KEEP_ALIVE_SECONDS = 10.0
 # The store comes back from older copies; none of these has failed yet.
-RETURN_SEEDS = (9200,)
-RETURNS = Play(keepers=20, returns=True)
+RESTORE_SEEDS = (9200,)
+RESTORES = Play(keepers=20, returns=True)
 # Servers name limits, ask for rest and leave; none of these has failed yet.
-STATEMENT_SEEDS = (9500, 9501)
-STATEMENTS = Play(instances=5, servers=4, keepers=20, statements=2)
-KEEPING = Play(instances=6, keepers=150, series=5)
+DIRECTIVE_SEEDS = (9500, 9501)
+DIRECTIVES = Play(instances=5, servers=4, keepers=20, statements=2)
+KEEP_ALIVE = Play(instances=6, keepers=150, series=5)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_no_promise_is_broken(seed: int, tmp_path: Path) -> None:
+async def test_guarantees_hold_under_single_faults(seed: int, tmp_path: Path) -> None:
     world = World(seed, tmp_path)
     assert await world.run(SECONDS) == []
-    assert any(seen.status == 200 and seen.is_whole for seen in world.seen)
+    assert any(outcome.status == 200 and outcome.is_whole for outcome in world.outcomes)
 
 
-@pytest.mark.parametrize("seed", KEEPING_SEEDS)
+@pytest.mark.parametrize("seed", KEEP_ALIVE_SEEDS)
 async def test_no_request_on_a_kept_connection_is_lost(
     seed: int, tmp_path: Path
 ) -> None:
-    world = World(seed, tmp_path, KEEPING)
-    assert await world.run(KEEPING_SECONDS) == []
-    reused = [seen for seen in world.seen if seen.way.uses]
-    assert any(seen.status == 200 and seen.is_whole for seen in reused)
+    world = World(seed, tmp_path, KEEP_ALIVE)
+    assert await world.run(KEEP_ALIVE_SECONDS) == []
+    reused = [outcome for outcome in world.outcomes if outcome.connection.uses]
+    assert any(outcome.status == 200 and outcome.is_whole for outcome in reused)
 
 
-@pytest.mark.parametrize("seed", RETURN_SEEDS)
-async def test_no_promise_is_broken_by_a_store_that_comes_back(
+@pytest.mark.parametrize("seed", RESTORE_SEEDS)
+async def test_guarantees_hold_when_the_store_is_restored_from_a_copy(
     seed: int, tmp_path: Path
 ) -> None:
-    world = World(seed, tmp_path, RETURNS)
+    world = World(seed, tmp_path, RESTORES)
     assert await world.run(SECONDS) == []
 
 
-@pytest.mark.parametrize("seed", STATEMENT_SEEDS)
-async def test_what_servers_say_of_themselves_is_kept(
-    seed: int, tmp_path: Path
-) -> None:
-    world = World(seed, tmp_path, STATEMENTS)
-    assert await world.run(KEEPING_SECONDS) == []
-    assert world.ledger.told
+@pytest.mark.parametrize("seed", DIRECTIVE_SEEDS)
+async def test_server_directives_are_followed(seed: int, tmp_path: Path) -> None:
+    world = World(seed, tmp_path, DIRECTIVES)
+    assert await world.run(KEEP_ALIVE_SECONDS) == []
+    assert world.ledger.issued_directives
 
 
 # One request sent at 10 s and ended without an answer at 10.2 s.
-LOST = Seen(
+LOST = Outcome(
     "r1",
     "once",
     "k1",
@@ -82,12 +80,12 @@
     False,
     Ending.CLOSED,
     10.2,
-    Way("i0", 1.0, 0.5, 1.0, 3),
+    ConnectionUse("i0", 1.0, 0.5, 1.0, 3),
 )
 
 
 def make_world(
-    seen: Seen, signals: list[Sent], harms: list[tuple[float, Harm]]
+    outcome: Outcome, signals: list[SentSignal], harms: list[tuple[float, Harm]]
 ) -> SimpleNamespace:
     instance = Instance.__new__(Instance)
     instance.name, instance.signals = "i0", signals
@@ -97,8 +95,8 @@
     ledger.runs["r1"].append(Run(10.1, "s0", "POST", False))
     return SimpleNamespace(
         seed=1,
-        begun_at=0.0,
-        seen=[seen],
+        faults_started_at=0.0,
+        outcomes=[outcome],
         ledger=ledger,
         server_proxies={"s0": proxy},
         find_instance={"i0": instance}.get,
@@ -106,24 +104,28 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "signals", "harms"),
+    ("outcome", "signals", "harms"),
     [
         (LOST, [], []),
         (LOST._replace(ending=Ending.RESET), [], []),
         (LOST._replace(ending=Ending.GIVEN_UP, ended_at=15.5), [], []),
         (LOST._replace(status=200), [], []),
-        (LOST._replace(way=Way("i0", 1.0)), [], []),
-        (LOST, [Sent(7.0, signal.SIGTERM)], []),
-        (LOST, [Sent(0.5, signal.SIGTERM)], []),
-        (LOST, [Sent(9.9, signal.SIGKILL)], []),
-        (LOST, [Sent(10.0, signal.SIGSTOP), Sent(10.1, signal.SIGCONT)], []),
-        (LOST, [Sent(10.1, signal.SIGHUP)], []),
+        (LOST._replace(connection=ConnectionUse("i0", 1.0)), [], []),
+        (LOST, [SentSignal(7.0, signal.SIGTERM)], []),
+        (LOST, [SentSignal(0.5, signal.SIGTERM)], []),
+        (LOST, [SentSignal(9.9, signal.SIGKILL)], []),
+        (
+            LOST,
+            [SentSignal(10.0, signal.SIGSTOP), SentSignal(10.1, signal.SIGCONT)],
+            [],
+        ),
+        (LOST, [SentSignal(10.1, signal.SIGHUP)], []),
         (LOST, [], [(8.0, Harm.RESET), (8.9, Harm.NONE)]),
         (LOST, [], [(10.3, Harm.RESET)]),
     ],
 )
-def test_a_lost_request_is_found(seen, signals, harms) -> None:
-    (line,) = find_lost(make_world(seen, signals, harms))
+def test_lost_request_is_reported(outcome, signals, harms) -> None:
+    (line,) = find_lost(make_world(outcome, signals, harms))
     assert line.startswith("LOST seed 1 r1")
 
 
@@ -131,18 +133,26 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "signals", "harms"),
+    ("outcome", "signals", "harms"),
     [
         (LOST._replace(is_whole=True, status=502), [], []),
         (LOST._replace(request_id="never passed on"), [], []),
-        (LOST, [Sent(10.1, signal.SIGKILL)], []),
-        (LOST, [Sent(6.5, signal.SIGTERM)], []),
-        (LATE, [Sent(10.1, signal.SIGSTOP), Sent(14.2, signal.SIGCONT)], []),
-        (LATE, [Sent(14.9, signal.SIGSTOP), Sent(15.1, signal.SIGCONT)], []),
+        (LOST, [SentSignal(10.1, signal.SIGKILL)], []),
+        (LOST, [SentSignal(6.5, signal.SIGTERM)], []),
+        (
+            LATE,
+            [SentSignal(10.1, signal.SIGSTOP), SentSignal(14.2, signal.SIGCONT)],
+            [],
+        ),
+        (
+            LATE,
+            [SentSignal(14.9, signal.SIGSTOP), SentSignal(15.1, signal.SIGCONT)],
+            [],
+        ),
         (LATE._replace(status=200), [], []),
         (LOST, [], [(8.0, Harm.RESET), (9.1, Harm.NONE)]),
         (LOST, [], [(10.1, Harm.SILENT)]),
     ],
 )
-def test_what_has_an_excuse_is_not_called_lost(seen, signals, harms) -> None:
-    assert find_lost(make_world(seen, signals, harms)) == []
+def test_excused_request_is_not_reported_as_lost(outcome, signals, harms) -> None:
+    assert find_lost(make_world(outcome, signals, harms)) == []
