--- a/tools/load.py
+++ b/tools/load.py
@@ -52,7 +52,7 @@
     cached_tokens: int = 0
     whole: bool = False
     retry_after: float = 0.0
-    refusal_seconds: float = 0.0
+    refused_in: float = 0.0
     sends: int = 1
 
 
@@ -131,8 +131,8 @@
         async with request as response:
             if response.status_code != OK:
                 await response.aread()
-                refusal_seconds = trio.current_time() - began
-                return _read_refusal(base, response, refusal_seconds)
+                refused_in = trio.current_time() - began
+                return _read_refusal(base, response, refused_in)
             data = b""
             first = 0.0
             async for chunk in response.aiter_bytes():
@@ -185,7 +185,7 @@
         status=response.status_code,
         kind=error["type"],
         retry_after=(error["retry_after_ms"] or 0) / 1000,
-        refusal_seconds=took,
+        refused_in=took,
     )
 
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -310,7 +310,7 @@
     background = idle.processor / idle.seconds
 
     def net(cost: Cost) -> float:
-        return (cost.processor - background * cost.seconds) / cost.operations * 1e3
+        return (cost.processor - background * cost.seconds) / cost.pieces * 1e3
 
     return [
         Slope("a streamed request with 1 token", net(short), "ms"),
@@ -330,14 +330,14 @@
 class Cost(NamedTuple):
     """What some pieces of work cost: processor and elapsed seconds."""
 
-    operations: int
+    pieces: int
     processor: float
     seconds: float
 
     @property
     def milliseconds_per_operation(self) -> float:
         """Elapsed milliseconds of one piece."""
-        return self.seconds / self.operations * 1e3
+        return self.seconds / self.pieces * 1e3
 
 
 def measure_cost(
