--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,4 +1,5 @@
-"""Developers' tools: the demo, the bench and the processes that they run.
+"""Developer tools: the demo, the benchmarks and the deployment that they run.
 
-The router itself never starts a process; these do, and end what they started.
+The router itself never starts a process; these tools do, and they terminate every
+process that they started.
 """
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -24,7 +24,7 @@
 async def replay(
     fleet: Fleet, events: list[Event], *, kills_engine: bool
 ) -> list[Result]:
-    """Send the trace; kill an engine on the way if told to."""
+    """Send the trace; kill an engine while it runs if ``kills_engine`` is set."""
     addresses = [instance.address for instance in fleet.instances]
     async with trio.open_nursery() as nursery:
         if kills_engine:
@@ -35,7 +35,7 @@
 def run_policy(
     policy: str, program: tuple[str, ...], *, kills_engine: bool
 ) -> list[Result]:
-    """Replay the demo's trace on a fresh deployment; return all results."""
+    """Replay the demo trace on a new deployment and return all results."""
     events = load_trace(TRACES / "demo.jsonl")
     directory = Path(tempfile.mkdtemp(prefix="ashpond-demo-"))
     options = FleetOptions(policy=policy, program=program)
@@ -50,7 +50,8 @@
                 partial(replay, fleet, events, kills_engine=kills_engine)
             )
             if policy == "ashpond":
-                # Each instance writes its counts out every ten seconds.
+                # Each instance writes its counters to the store every 10 s; wait
+                # until the report includes all requests.
                 time.sleep(COUNTERS_WRITE_SECONDS)
                 print(fleet.run_command("status"))
                 print(fleet.run_command("report", "burn"))
@@ -60,7 +61,7 @@
 
 
 def print_figures(policy: str, results: list[Result]) -> int:
-    """Print one line of figures; return the number of failures."""
+    """Print the figures of a policy and return the number of failed requests."""
     model = summarize([result for result in results if result.event.parts])
     failures = sum(not result.whole for result in results)
     print(
@@ -72,7 +73,7 @@
 
 
 def main() -> None:
-    """Run the demo; exit with 1 if any request failed."""
+    """Run the demo; exit with status 1 if a request failed under ashpond."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--binary", help="run this binary instead of the sources")
     parser.add_argument(
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,8 @@
-"""Run a whole deployment on loopback: stand-ins and instances as processes."""
+"""Run a complete deployment on the loopback interface.
+
+The platform, the engines and the services are stand-ins; each of them and each
+instance is a process of its own.
+"""
 
 from __future__ import annotations
 
@@ -26,9 +30,10 @@
 
 
 class FleetOptions(NamedTuple):
-    """What to start. ``engine_args`` go to each stand-in engine.
+    """The processes to start and their configuration.
 
-    ``program`` is the command that stands for ``ashpond``.
+    ``engine_args`` are passed to each stand-in engine. ``program`` is the command
+    that runs ashpond. ``settings_lines`` are appended to each instance's settings.
     """
 
     instances: int = 6
@@ -46,7 +51,7 @@
 
 
 class Process(NamedTuple):
-    """A started process and its addresses; only an instance has three."""
+    """A started process; ``admin`` and ``peers`` are empty unless it is an instance."""
 
     name: str
     popen: subprocess.Popen[bytes]
@@ -56,7 +61,7 @@
 
 
 def find_ports(count: int) -> list[int]:
-    """Return free ports of the loopback address."""
+    """Return ``count`` distinct free ports of the loopback address."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for item in sockets:
@@ -65,7 +70,7 @@
 
 
 class Fleet:
-    """The processes of one deployment; ends all of them on leaving."""
+    """The processes of one deployment; a context manager that stops them on exit."""
 
     def __init__(self, options: FleetOptions, directory: Path):
         self.options = options
@@ -88,7 +93,7 @@
         self.stop()
 
     def start(self) -> None:
-        """Start everything, apply the configuration and wait until it is ready."""
+        """Start all processes, apply the configuration and wait for readiness."""
         options = self.options
         self.platform = self._start_standin("platform", "platform")
         self._wait_for(f"http://{self.platform.address}/control/counts")
@@ -112,8 +117,9 @@
     def start_instance(
         self, number: int, addresses: Process | None = None, more: str = ""
     ) -> Process:
-        """Start one instance, on the addresses of an earlier one if given.
+        """Start one instance.
 
+        :param addresses: an earlier instance whose addresses are reused.
         :param more: lines to put before the other settings.
         """
         assert self.platform is not None
@@ -141,19 +147,19 @@
         return Process(name, popen, callers, admin, peers)
 
     def report_member_state(self, address: str, kind: str, state: str) -> None:
-        """Tell the platform's list what its scheduler would know."""
+        """Report a state to the platform, as the scheduler of a real one would."""
         assert self.platform is not None
         member = {"address": address, "kind": kind, "state": state}
         url = f"http://{self.platform.address}/control/instances"
         self.http.post(url, json=member)
 
     def set_faults(self, process: Process | None, **faults: Any) -> None:
-        """Switch faults of a stand-in on or off."""
+        """Set the fault options of a stand-in."""
         assert process is not None
         self.http.post(f"http://{process.address}/control/faults", json=faults)
 
     def render_servers_file(self) -> str:
-        """Return the configuration file that declares the started servers."""
+        """Return a configuration file that declares the started backend servers."""
         parts = []
         groups = ((self.engines, "bid-reader"), (self.services, "settle-pub"))
         for processes, service in groups:
@@ -168,14 +174,17 @@
         return "\n".join(parts)
 
     def apply(self) -> None:
-        """Apply the configuration by the command that operators use."""
+        """Apply the configuration with the ``apply`` command, as operators do."""
         servers = self.directory / "servers.toml"
         servers.write_text(self.render_servers_file())
         files = [str(path) for path in (*self.options.config_files, servers)]
         self.run_command("apply", *files, "--wait")
 
     def run_command(self, *arguments: str) -> str:
-        """Run an operator's command against the first instance."""
+        """Run an operator command against the first instance and return its output.
+
+        :raises RuntimeError: if the command fails.
+        """
         admin = self.instances[0].admin
         environment = {"ASHPOND_ADMIN": admin, "ASHPOND_ADMIN_TOKEN": ADMIN_TOKEN}
         done = subprocess.run(
@@ -191,7 +200,10 @@
         return done.stdout
 
     def wait_until_ready(self) -> None:
-        """Wait until each instance is ready and hears of the others."""
+        """Wait until each instance is ready and knows all the others.
+
+        :raises RuntimeError: if this takes longer than the start timeout.
+        """
         for instance in self.instances:
             self._wait_for(f"http://{instance.admin}/readyz")
             end = time.monotonic() + START_TIMEOUT_SECONDS
@@ -201,22 +213,22 @@
                 time.sleep(POLL_SECONDS)
 
     def count_known_instances(self, instance: Process) -> int:
-        """Return how many instances one of them knows."""
+        """Return the number of instances that ``instance`` knows, itself included."""
         return len(self.read_status(instance)["instances"])
 
     def read_status(self, instance: Process) -> Any:
-        """Return what an instance says of the deployment."""
+        """Return the status of the deployment as ``instance`` reports it."""
         headers = {"Authorization": f"Bearer {ADMIN_TOKEN}"}
         url = f"http://{instance.admin}/admin/status"
         return self.http.get(url, headers=headers).json()
 
     def kill(self, process: Process) -> None:
-        """Kill a process that this fleet started."""
+        """Kill a process of this deployment and wait for its exit."""
         process.popen.kill()
         process.popen.wait()
 
     def restart_engine(self, engine: Process) -> Process:
-        """Start an engine that has ended, at the address that it had."""
+        """Restart a terminated engine at its previous address."""
         number = self.engines.index(engine)
         assert self.platform is not None
         extra = (*self.options.engine_args, "--platform", self.platform.address)
@@ -227,7 +239,10 @@
         return self.engines[number]
 
     def stop(self) -> None:
-        """End every process that this fleet started."""
+        """Terminate all processes; kill those that exceed the stop timeout.
+
+        Suspended processes are resumed first, so that they handle the signal.
+        """
         started = [*self.instances, *self.services, *self.engines]
         if self.platform is not None:
             started.append(self.platform)
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,4 +1,9 @@
-"""A load client with its own clock: latencies count from the intended time."""
+"""An open-loop load client.
+
+Requests are sent at the times given by the trace, whether or not earlier ones have
+been answered. Latencies count from the intended send time, so a delayed send is
+part of the latency.
+"""
 
 from __future__ import annotations
 
@@ -25,9 +30,12 @@
 
 
 class LoadOptions(NamedTuple):
-    """How a trace is sent. ``speed`` 2 sends it in half the time.
+    """How a trace is sent.
 
-    ``resend_after`` lets callers give up and send again after so many seconds.
+    A ``speed`` of 2 sends it in half the time. ``resend_after`` is the timeout of
+    an attempt in seconds; a positive value also makes the client retry after every
+    attempt without a 200 answer. With ``obey_retry_after`` the client retries only
+    refusals that give a retry time, after that time.
     """
 
     speed: float = 1.0
@@ -37,9 +45,12 @@
 
 
 class Result(NamedTuple):
-    """What became of one intended request; times in seconds from its intent.
+    """The outcome of one request of the trace; times are in seconds.
 
-    ``sent_at`` is the wall clock, to compare with the engines' event logs.
+    ``first_token`` and ``total`` count from the intended send time; ``refused_in``
+    counts from the start of the last attempt. ``sent_at`` is wall-clock time, so that
+    it can be compared with the engines' event logs. ``whole`` is set if the answer
+    was complete. ``sends`` is the number of attempts.
     """
 
     event: Event
@@ -59,7 +70,7 @@
 async def run_load(
     addresses: Sequence[str], events: Sequence[Event], options: LoadOptions
 ) -> list[Result]:
-    """Send ``events`` to the instances in turn; return all results."""
+    """Send ``events`` to the instances in rotation and return all results."""
     results: list[Result] = []
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=200)
     async with httpx.AsyncClient(
@@ -76,7 +87,7 @@
 
 
 class _Client:
-    """One caller's request, sent again as the options say."""
+    """The client of one request, which retries as the options specify."""
 
     def __init__(
         self,
@@ -146,7 +157,7 @@
 def make_request(
     event: Event, options: LoadOptions
 ) -> tuple[str, bytes, dict[str, str]]:
-    """Return path, body and headers of an event."""
+    """Return the path, body and headers of the request for an event."""
     headers = {
         "Authorization": f"Bearer demo-key-{event.team}",
         "Ashpond-Priority": event.priority,
@@ -168,7 +179,7 @@
 
 
 def make_messages(event: Event) -> list[dict[str, str]]:
-    """Return the chat messages of an event, one a part."""
+    """Return the chat messages of an event, one for each prompt part."""
     roles = ["system"] * (len(event.parts) - 1) + ["user"]
     return [
         {"role": role, "content": make_text(part)}
@@ -190,7 +201,7 @@
 
 
 def _read_stream(base: Result, data: bytes, event: Event) -> Result:
-    """Check that a stream is whole and in order, and read its token counts."""
+    """Check that a stream is complete and in order, and read its token counts."""
     blocks = data.split(b"\n\n")[:-1]
     if any(block.startswith(b"event: error") for block in blocks):
         return base._replace(status=OK, kind="stream_error")
@@ -210,7 +221,10 @@
 
 
 class Summary(NamedTuple):
-    """Figures of one group of results; times in milliseconds."""
+    """Statistics of a group of results.
+
+    Percentiles are of the time to first token in milliseconds, over whole results.
+    """
 
     total: int
     whole: int
@@ -222,7 +236,7 @@
 
 
 def summarize(results: Sequence[Result]) -> Summary:
-    """Return the figures of ``results``."""
+    """Return the statistics of ``results``."""
     histogram = HdrHistogram(1, MAX_MICROSECONDS, HISTOGRAM_DIGITS)
     whole = [result for result in results if result.whole]
     for result in whole:
--- a/tools/traces.py
+++ b/tools/traces.py
@@ -1,7 +1,7 @@
-"""Recorded traces: what is asked for when, and generators of two of them.
+"""Request traces for the demo and the bench, and the generators of them.
 
-A trace is a file of JSON lines. Prompt texts are not kept: a part is named and
-has a length, and its text follows from its name.
+A trace is a file of JSON lines, one for each request. Prompt texts are not stored: a
+prompt part has a name and a length, and its text is derived from its name.
 """
 
 from __future__ import annotations
@@ -19,14 +19,17 @@
 
 
 class Part(NamedTuple):
-    """A level of a prompt: a name and a length in characters."""
+    """A part of a prompt: its name and its length in characters."""
 
     name: str
     length: int
 
 
 class Event(NamedTuple):
-    """One intended request, ``at`` seconds after the start of the trace."""
+    """A request to send ``at`` seconds after the start of the trace.
+
+    A request without ``parts`` is a call of a plain service.
+    """
 
     at: float
     service: str
@@ -38,14 +41,14 @@
 
 
 def make_text(part: Part) -> str:
-    """Return the text of a part, the same for the same name."""
+    """Return the text of a part; equal names and lengths give equal texts."""
     digest = hashlib.sha256(part.name.encode()).hexdigest()
     repeats = part.length // (len(digest) + 1) + 1
     return (f"{digest} " * repeats)[: part.length]
 
 
 def load_trace(path: Path) -> list[Event]:
-    """Read a trace."""
+    """Read a trace from a file of JSON lines."""
     events = []
     for line in path.read_text().splitlines():
         fields = json.loads(line)
@@ -55,7 +58,7 @@
 
 
 def save_trace(path: Path, events: list[Event]) -> None:
-    """Write a trace, in the order of time."""
+    """Write a trace, ordered by time."""
     ordered = sorted(events, key=lambda event: event.at)
     lines = [json.dumps(event._asdict(), separators=(",", ":")) for event in ordered]
     path.write_text("\n".join(lines) + "\n")
@@ -64,10 +67,11 @@
 def generate_khangai(
     seconds: float, bids_per_interval: int, participants: int
 ) -> list[Event]:
-    """Return bid checks in bursts, notes between them, and publications.
+    """Return a trace of bid checks in bursts, dispatch notes and publications.
 
-    Each settlement interval opens with a burst over a few participants; all of
-    them read one very hot rulebook, which changes in mid-trace.
+    Each settlement interval of 5 s begins with a burst of bid checks for a few
+    participants. All bid checks and notes share one rulebook as their first prompt
+    part, which is replaced halfway through the trace.
     """
     rng = random.Random(SEED)
     interval = 5.0
@@ -99,9 +103,10 @@
 
 
 def generate_hinokuni(seconds: float, rate: float, shops: int) -> list[Event]:
-    """Return seat checks and assistant answers over shops with own rules.
+    """Return a trace of seat checks and assistant answers for many shops.
 
-    Popularity follows Zipf's law; at dinner, half-way, the hot set shifts.
+    Each shop has its own rules as the first prompt part. The popularity of shops
+    follows Zipf's law; halfway through the trace the most popular shops change.
     """
     rng = random.Random(SEED + 1)
     weights = [1 / (rank + 1) for rank in range(shops)]
