--- a/tools/accounts.py
+++ b/tools/accounts.py
@@ -1,4 +1,4 @@
-"""Work out what a run of a trace cost, against what a perfect cache would."""
+"""Compute the cache efficiency of a replayed trace, and its upper bound."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 
 
 def make_prefix_chain(event: Event) -> PrefixChain:
-    """Return the prefix chain that an instance makes of an event's prompt."""
+    """Return the prefix chain that an instance computes for an event's prompt."""
     text, ends = render_chat(make_messages(event))
     return hash_prompt(PrefixSeed(event.team, MODEL, WEIGHTS), text, ends)
 
 
 def compute_max_hit_rate(events: Sequence[Event]) -> float:
-    """Return the hit rate of one shared cache without limit that sees it all.
+    """Return the hit rate of a single unlimited cache that serves all requests.
 
-    Each distinct block is computed once, when it first comes; no placement can
-    do better, whatever it knows of the trace.
+    Such a cache computes each distinct block once, at its first occurrence. This is
+    the upper bound for every placement policy, even one that knows the whole trace.
     """
     seen: set[int] = set()
     total = hits = 0
@@ -60,9 +60,13 @@
 
 
 def count_wasted_tokens(results: Sequence[Result], logs: Sequence[Any]) -> int:
-    """Return the tokens computed anew that some engine had when they were asked.
+    """Return the tokens computed although an engine had them cached.
 
-    :param logs: each engine's cache events, with the wall clock of each.
+    Only whole results of model requests count. The cached tokens of a request are
+    compared with the longest prefix that any engine had cached when it was sent.
+
+    :param logs: the cache event log of each engine; every event has its wall-clock
+        time in ``wall``.
     """
     changes = [
         (event["wall"], engine, event)
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -28,7 +28,7 @@
 
 
 class Run(NamedTuple):
-    """One replay: its policy, its results and what the instances used."""
+    """One replay: the policy, the results and the resources used by instances."""
 
     policy: str
     results: list[Result]
@@ -39,7 +39,10 @@
 
 
 def read_metrics(fleet: Fleet) -> dict[str, float]:
-    """Return each metric summed over the instances and all labels."""
+    """Return each metric, summed over all instances and labels.
+
+    Store operations are the exception: they are summed by kind of operation.
+    """
     sums: dict[str, float] = {}
     for instance in fleet.instances:
         page = fleet.http.get(f"http://{instance.admin}/metrics").text
@@ -50,14 +53,14 @@
 
 
 def read_resident_mb(process: Process) -> float:
-    """Return the resident memory of a process, in megabytes."""
+    """Return the resident memory of a process in MiB, or 0 if it is unknown."""
     status = Path(f"/proc/{process.popen.pid}/status").read_text()
     found = re.search(r"VmRSS:\s+(\d+) kB", status)
     return int(found[1]) / 1024 if found else 0.0
 
 
 def read_cache_events(fleet: Fleet, engine: Process) -> Any:
-    """Return an engine's cache events, none if it was killed."""
+    """Return the cache events of an engine, or none if it no longer runs."""
     try:
         return fleet.http.get(f"http://{engine.address}/control/log").json()
     except httpx.ConnectError:
@@ -71,7 +74,7 @@
     fleet_options: FleetOptions,
     inject_fault: Callable[[Fleet], Any] | None,
 ) -> Run:
-    """Replay a trace on a fresh deployment."""
+    """Replay a trace on a new deployment, with a fault if one is given."""
     directory = Path(tempfile.mkdtemp(prefix="ashpond-bench-"))
     try:
         with Fleet(fleet_options._replace(policy=policy), directory) as fleet:
@@ -103,7 +106,7 @@
 
 
 def list_window_p99s(results: list[Result]) -> list[float]:
-    """Return the p99 of each five seconds of the trace, in milliseconds."""
+    """Return the p99 time to first token of each 5 s window, in milliseconds."""
     windows: dict[int, list[Result]] = {}
     for result in results:
         if result.event.parts:
@@ -113,7 +116,7 @@
 
 
 def collect_figures(run: Run) -> dict[str, Any]:
-    """Return the figures of a run, by service and priority and in all."""
+    """Return the figures of a run, per service and priority and in total."""
     groups: dict[str, list[Result]] = {}
     for result in run.results:
         name = f"{result.event.service}/{result.event.priority}"
@@ -159,7 +162,11 @@
 
 
 def add_flood(events: list[Event], team: str) -> list[Event]:
-    """Return a trace in which one team asks 20 times as much, all of it new."""
+    """Return a trace in which one team sends 20 times as many requests.
+
+    The prompt parts of the added requests are all distinct, so that no cache can
+    serve them.
+    """
     rng = random.Random(FLOOD_FACTOR)
     more: list[Event] = []
     for event in events:
@@ -176,7 +183,7 @@
 
 
 def main() -> None:
-    """Replay a trace under each policy in turn and compare."""
+    """Replay a trace under each policy and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("trace", help="name of a trace, or a path")
     parser.add_argument("--policy", action="append", choices=POLICIES)
--- a/tools/claimcost.py
+++ b/tools/claimcost.py
@@ -1,4 +1,4 @@
-"""Measure what claims cost the table service, with and without group commit."""
+"""Measure the store transactions and latency of claims, with and without batches."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
 
 
 async def run_claims(address: str, max_batch: int, rate: float) -> tuple[float, float]:
-    """Make claims at a rate; return transactions a claim and mean milliseconds."""
+    """Make claims at a given rate.
+
+    :param rate: claims per second.
+    :returns: the transactions per claim and the mean latency in milliseconds.
+    """
     platform = PlatformClient(address, 5.0)
     settings = make_settings(platform_address=address)
     name = f"{max_batch}-{rate}"
@@ -46,7 +50,7 @@
 
 
 def main() -> None:
-    """Print a line for each rate and batch size."""
+    """Print the cost and latency for each rate and batch size."""
     directory = Path(tempfile.mkdtemp(prefix="ashpond-claims-"))
     options = FleetOptions(instances=1, engines=1, services=1)
     try:
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the bench lets happen while a trace runs."""
+"""Faults that the bench injects while a trace is replayed."""
 
 from __future__ import annotations
 
@@ -23,37 +23,37 @@
 
 
 async def crash_engine(fleet: Fleet) -> None:
-    """Let the first engine come back empty under another incarnation."""
+    """Restart the first engine with an empty cache and a new incarnation."""
     await trio.sleep(FAULT_AT_SECONDS)
     await _post(fleet.engines[0], "/control/crash")
 
 
 async def kill_engine(fleet: Fleet) -> None:
-    """Kill the first engine for good."""
+    """Kill the first engine without restarting it."""
     await trio.sleep(FAULT_AT_SECONDS)
     fleet.kill(fleet.engines[0])
 
 
 async def slow_down_engine(fleet: Fleet) -> None:
-    """Let the first engine work at a tenth of its speed."""
+    """Slow the first engine down to a tenth of its speed."""
     await trio.sleep(FAULT_AT_SECONDS)
     await _post(fleet.engines[0], "/control/faults", slow=10.0)
 
 
 async def lose_events(fleet: Fleet) -> None:
-    """Let all engines lose a third of their cache events."""
+    """Drop a third of the cache events of every engine."""
     for engine in fleet.engines:
         await _post(engine, "/control/faults", lose_events=0.33)
 
 
 async def delay_load_reports(fleet: Fleet) -> None:
-    """Let load reports be five seconds old."""
+    """Delay the load reports of every engine by 5 s."""
     for engine in fleet.engines:
         await _post(engine, "/control/faults", report_lag=5.0)
 
 
 async def stop_platform(fleet: Fleet) -> None:
-    """Let the platform answer nothing any more."""
+    """Make the platform stop answering requests."""
     await trio.sleep(FAULT_AT_SECONDS)
     await _post(fleet.platform, "/control/faults", outage=True)
 
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write the reference of the configuration from the types that check it."""
+"""Generate the configuration reference from the types that validate it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def describe_type(hint: Any) -> str:
-    """Return the name of a type as a reader of TOML knows it."""
+    """Return the name of a type in the terms of TOML."""
     text = str(hint)
     names = {"str": "text", "int": "whole number", "float": "number", "bool": "boolean"}
     if isinstance(hint, type) and hint.__name__ in names:
@@ -50,7 +50,7 @@
 
 
 def describe_default(kind: Any, key: str) -> str:
-    """Return a key's default as TOML writes it."""
+    """Return the default of a key in TOML notation, ``required`` if it has none."""
     if key not in kind._field_defaults:
         return "required"
     value = kind._field_defaults[key]
@@ -62,7 +62,7 @@
 
 
 def render_reference() -> str:
-    """Return the page."""
+    """Return the reference page as Markdown."""
     parts = [HEAD]
     for name, kind in SECTIONS:
         parts.append(f"\n## `[{name}]`\n\n{inspect.getdoc(kind)}\n")
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -40,7 +40,7 @@
 
 
 class Slope(NamedTuple):
-    """One measured slope: what it is of, its value and its unit."""
+    """A measured cost: its name, value and unit."""
 
     name: str
     value: float
@@ -48,7 +48,7 @@
 
 
 def time_per_call(operation: Callable[[], Any], count: int) -> float:
-    """Return the processor seconds of one call."""
+    """Return the mean processor time of one call in seconds."""
     began = time.process_time()
     for _ in range(count):
         operation()
@@ -56,7 +56,7 @@
 
 
 def measure_bytes(build: Callable[[int], Any], few: int, many: int) -> float:
-    """Return the bytes of memory that one more entry takes."""
+    """Return the memory of one more entry in bytes."""
     sizes = []
     for count in (few, many):
         tracemalloc.start()
@@ -68,7 +68,7 @@
 
 
 def measure_decisions() -> list[Slope]:
-    """Measure the pure decisions, without any process."""
+    """Measure the decision functions in this process, without a deployment."""
     rng = random.Random(1)
     seed = PrefixSeed("t", "m", "w")
     text = "x" * 20_000
@@ -100,7 +100,7 @@
 
 
 def make_events(blocks: int) -> list[dict[str, Any]]:
-    """Return cache events of four blocks each."""
+    """Return cache events that each store two blocks and remove two."""
     return [
         {
             "seq": n,
@@ -113,7 +113,7 @@
 
 
 def measure_event_cost() -> float:
-    """Return the processor seconds that one block in the events costs."""
+    """Return the processor seconds per block of processing cache events."""
     view = CacheView(100_000)
     view.adopt_incarnation("i")
     events = make_events(40_000)
@@ -127,7 +127,7 @@
 
 
 def measure_view_bytes() -> float:
-    """Return the memory that one believed block takes."""
+    """Return the memory of one block in a cache view, in bytes."""
 
     def build(count: int) -> CacheView:
         view = CacheView(10**9)
@@ -139,7 +139,7 @@
 
 
 def make_fact(number: int) -> Fact:
-    """Return a fact as an instance sends it."""
+    """Return a fact as an instance sends it to its peers."""
     body = {
         "generation": 17,
         "leaving": [],
@@ -151,12 +151,12 @@
 
 
 def measure_fact_size() -> float:
-    """Return the packed size of a fact."""
+    """Return the size of a fact on the wire, in bytes."""
     return len(msgpack.packb(list(make_fact(17))))
 
 
 def measure_fact_bytes() -> float:
-    """Return the memory that one more instance's fact takes."""
+    """Return the memory of the fact of one more instance, in bytes."""
 
     def build(count: int) -> FactTable:
         table = FactTable("me")
@@ -168,7 +168,7 @@
 
 
 def measure_fact_cost() -> float:
-    """Return the processor seconds to unpack and take in one fact."""
+    """Return the processor seconds to unpack and store one fact."""
     table = FactTable("me")
     packed = msgpack.packb([list(make_fact(n)) for n in range(400)])
     sequence = 0
@@ -185,7 +185,7 @@
 
 
 def measure_attempt_bytes() -> float:
-    """Return the memory that one remembered attempt takes."""
+    """Return the memory of one attempt in the registry, in bytes."""
 
     def build(count: int) -> AttemptRegistry:
         registry = AttemptRegistry("10.0.0.1:7003", "abcdef123456")
@@ -209,7 +209,7 @@
 
 
 def measure_team_bytes() -> float:
-    """Return the memory that one more team takes, its file text included."""
+    """Return the memory of one more team in bytes, its file text included."""
 
     def build(count: int) -> Any:
         files = make_teams(count)
@@ -225,7 +225,7 @@
 
 
 def measure_key_cost() -> float:
-    """Return the processor seconds that one more team costs each request."""
+    """Return the processor seconds that one more team adds to each request."""
     from ashpond.filters.authentication import find_team
 
     configuration = parse_configuration(make_teams(1000))
@@ -233,13 +233,13 @@
 
 
 def measure_bucket_size() -> float:
-    """Return the stored size of one bucket of the burn report."""
+    """Return the stored size of one bucket of the burn report, in bytes."""
     buckets = {(f"service-{n}", f"team-{n}", n): Counts(9, 9, 9) for n in range(100)}
     return len(pack_buckets(buckets)) / 100
 
 
 def measure_processes() -> list[Slope]:
-    """Measure one instance among others, by its own processor time."""
+    """Measure one instance of a deployment by its own processor time."""
     directory = Path(tempfile.mkdtemp(prefix="ashpond-slopes-"))
     fast = ("--token-seconds", "0.002", "--prefill-rate", "1000000")
     options = FleetOptions(instances=3, engines=4, services=1, engine_args=fast)
@@ -261,7 +261,7 @@
 
 
 def measure_idle(fleet: Fleet) -> list[Slope]:
-    """Measure what an instance uses while nothing is asked of it."""
+    """Measure the resources that an instance uses without requests."""
     instance = fleet.instances[0]
     before = read_instance_metrics(fleet, instance)
     time.sleep(IDLE_SECONDS)
@@ -281,7 +281,10 @@
 
 
 def measure_requests(fleet: Fleet) -> list[Slope]:
-    """Measure requests with few and many tokens, and claims."""
+    """Measure the costs of streamed requests, plain calls and claims.
+
+    Idle use during each measurement is subtracted.
+    """
     instance = fleet.instances[0]
     client = httpx.Client(trust_env=False, timeout=60, headers=KEY)
     text = "rule " * 4000
@@ -328,7 +331,7 @@
 
 
 class Cost(NamedTuple):
-    """What some pieces of work cost: processor and elapsed seconds."""
+    """The cost of a number of operations: processor and elapsed seconds."""
 
     pieces: int
     processor: float
@@ -336,14 +339,14 @@
 
     @property
     def milliseconds_per_operation(self) -> float:
-        """Elapsed milliseconds of one piece."""
+        """The elapsed milliseconds per operation."""
         return self.seconds / self.pieces * 1e3
 
 
 def measure_cost(
     fleet: Fleet, instance: Process, operation: Callable[[int], Any], count: int
 ) -> Cost:
-    """Run pieces of work one after another and read the instance's use."""
+    """Run an operation ``count`` times in sequence and return the instance's cost."""
     before = read_instance_metrics(fleet, instance)["processor_seconds"]
     began = time.monotonic()
     for number in range(count):
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -19,7 +19,7 @@
 
 
 def apply_change(fleet: Fleet, number: int) -> int:
-    """Apply a change through one of the instances; return its generation."""
+    """Apply a change through one of the instances and return its generation."""
     instance = fleet.instances[number % len(fleet.instances)]
     text = f"# change {number}\n"
     change = {"files": {"note.toml": text}, "apply_id": uuid.uuid4().hex}
@@ -30,7 +30,10 @@
 
 
 def measure_propagation(fleet: Fleet, generation: int) -> float:
-    """Return the seconds until every instance runs ``generation``."""
+    """Return the seconds until every instance runs ``generation``.
+
+    The result is infinite if an instance does not run it before the timeout.
+    """
     began = time.monotonic()
     late = list(fleet.instances)
     while late and time.monotonic() - began < TIMEOUT_SECONDS:
@@ -42,7 +45,7 @@
 
 
 def read_generation(fleet: Fleet, admin: str) -> int:
-    """Return the generation that an instance runs."""
+    """Return the generation that an instance runs, or 0 if it is not ready."""
     answer = fleet.http.get(f"http://{admin}/readyz")
     if answer.status_code != httpx.codes.OK:
         return 0
@@ -50,7 +53,10 @@
 
 
 def measure(fleet: Fleet, rounds: int, *, with_store_outage: bool) -> list[float]:
-    """Return the spread times of several changes."""
+    """Return the propagation times of several changes in seconds.
+
+    :param with_store_outage: stop the store once a change has been accepted.
+    """
     times = []
     for number in range(rounds):
         generation = apply_change(fleet, number)
@@ -62,7 +68,7 @@
 
 
 def main() -> None:
-    """Print the spread with the store up and with the store just gone."""
+    """Print the propagation times with and without an outage of the store."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--instances", type=int, default=8)
     parser.add_argument("--rounds", type=int, default=20)
