--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The one file runs, as one process, and unpacks nothing."""
+"""Tests of the executable archive: one process, and nothing unpacked to disk."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
 
 
 def list_open_files(pid: int) -> set[str]:
-    """Return the files on a disk that a process holds open."""
+    """Return the files on disk that a process has open."""
     targets = {read_target(e) for e in Path(f"/proc/{pid}/fd").iterdir()}
     in_memory = ("/memfd:", "/dev/", "/proc/")
     return {t for t in targets if t.startswith("/") and not t.startswith(in_memory)}
 
 
 def read_target(descriptor: Path) -> str:
-    """Return what a descriptor is open on; nothing if it was closed meanwhile."""
+    """Return the target of a descriptor, or an empty string if it is closed."""
     try:
         return str(descriptor.readlink())
     except FileNotFoundError:
@@ -62,7 +62,7 @@
 
 
 def test_a_descriptor_closed_after_listing_is_not_counted_as_open():
-    """A connection of the instance ended between the list and the look at it."""
+    """The instance may close a connection after its descriptors were listed."""
     read, write = os.pipe()
     descriptor = Path(f"/proc/self/fd/{read}")
     assert read_target(descriptor).startswith("pipe:")
--- a/tools/binary/__init__.py
+++ b/tools/binary/__init__.py
@@ -1,1 +1,1 @@
-"""Build the single file that ashpond ships as."""
+"""Build ashpond as a single executable file."""
--- a/tools/binary/build.py
+++ b/tools/binary/build.py
@@ -1,4 +1,4 @@
-"""Build ``dist/ashpond``: one executable file with all that it needs."""
+"""Build ``dist/ashpond``, an executable zip archive with all dependencies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 TARGET = ROOT / "dist" / "ashpond"
 VERSION = sys.version_info[:2]
 INTERPRETER = b"#!/usr/bin/env python%d.%d\n" % VERSION
-# Not needed to run, and large.
+# Large files that are not needed at run time.
 EXCLUDED_PATTERNS = (
     "*.dist-info/RECORD",
     "**/tests",
@@ -27,7 +27,7 @@
 
 
 def collect() -> None:
-    """Install the locked packages and ashpond into the stage."""
+    """Install the locked dependencies and ashpond into the staging directory."""
     shutil.rmtree(STAGE, ignore_errors=True)
     STAGE.mkdir(parents=True)
     command = [sys.executable, "-m", "pip", "install", "--quiet", "--no-compile"]
@@ -37,7 +37,7 @@
     )
     shutil.copytree(ROOT / "ashpond", STAGE / "ashpond")
     launcher = (ROOT / "tools" / "binary" / "launcher.py").read_text()
-    # Extension modules fit the interpreter that they were installed for.
+    # Extension modules only work with the Python version they were installed for.
     launcher = launcher.replace("NEEDED = (3, 11)", f"NEEDED = {tuple(VERSION)}")
     (STAGE / "__main__.py").write_text(launcher)
     for pattern in EXCLUDED_PATTERNS:
@@ -57,7 +57,7 @@
 
 
 def pack() -> None:
-    """Write the file, the same bytes for the same contents."""
+    """Write the archive reproducibly: equal contents give equal bytes."""
     TARGET.parent.mkdir(exist_ok=True)
     with open(TARGET, "wb") as file:
         file.write(INTERPRETER)
@@ -65,7 +65,8 @@
             for path in sorted(STAGE.rglob("*")):
                 name = str(path.relative_to(STAGE))
                 if path.is_dir():
-                    # Packages without an __init__ are found by their folder.
+                    # Namespace packages have no __init__; the importer finds them by
+                    # their directory entry.
                     archive.writestr(zipfile.ZipInfo(f"{name}/", EPOCH), b"")
                     continue
                 info = zipfile.ZipInfo(name, EPOCH)
@@ -75,7 +76,7 @@
 
 
 def main() -> None:
-    """Build the file and print its size."""
+    """Build the executable file and print its size."""
     collect()
     compile_modules()
     pack()
--- a/tools/binary/launcher.py
+++ b/tools/binary/launcher.py
@@ -1,9 +1,9 @@
-"""Start ashpond from the one file that holds it; becomes its ``__main__``.
+"""The ``__main__`` module of the executable archive: starts ashpond.
 
-Python imports modules straight from the file. Extension modules cannot be
-imported so: each is copied, when it is first wanted, into an anonymous file in
-this process's memory and loaded from there. Nothing is unpacked to a disk and
-no process is started.
+Python imports pure modules directly from the archive but cannot load extension
+modules from it. Each extension module is therefore copied to an anonymous
+in-memory file (``memfd``) at its first import and loaded from there. Nothing is
+unpacked to disk and no child process is started.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ExtensionFinder(importlib.abc.MetaPathFinder):
-    """Finds the extension modules in the file."""
+    """Finder for the extension modules in the archive."""
 
     def __init__(self, archive: str):
         self._archive = archive
@@ -34,7 +34,7 @@
                     self._entries.setdefault(name, entry)
 
     def find_spec(self, fullname, path=None, target=None):
-        """Return how to load an extension module of the file."""
+        """Return the spec of an extension module, or ``None`` if it is not included."""
         entry = self._entries.get(fullname)
         if entry is None:
             return None
@@ -43,7 +43,7 @@
         return importlib.util.spec_from_file_location(fullname, location, loader=loader)
 
     def _copy_to_memory(self, fullname: str, entry: str) -> str:
-        # The descriptor stays open: its path is the module's for good.
+        # The descriptor is never closed: the module's path refers to it.
         descriptor = os.memfd_create(fullname, os.MFD_CLOEXEC)
         with zipfile.ZipFile(self._archive) as opened:
             data = memoryview(opened.read(entry))
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Check the Python version and run the command-line interface."""
     if sys.version_info[:2] != NEEDED:
         wanted = ".".join(map(str, NEEDED))
         sys.exit(f"error: this file was built for Python {wanted}")
