--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -20,8 +20,8 @@
 
 
 def test_prints_its_version(binary):
-    done = subprocess.run([binary, "--version"], capture_output=True, text=True)
-    assert done.stdout.startswith("ashpond, version")
+    completed = subprocess.run([binary, "--version"], capture_output=True, text=True)
+    assert completed.stdout.startswith("ashpond, version")
 
 
 def test_binary_starts_no_child_process_and_unpacks_nothing(binary, tmp_path):
--- a/tools/accounts.py
+++ b/tools/accounts.py
@@ -74,26 +74,26 @@
         for event in log["events"]
     ]
     changes.sort(key=lambda change: change[0])
-    held: list[set[int]] = [set() for _ in logs]
+    cached_blocks: list[set[int]] = [set() for _ in logs]
     wasted = 0
     position = 0
-    asked = [r for r in results if r.whole and r.event.parts]
-    for result in sorted(asked, key=lambda r: r.sent_at):
+    complete_results = [r for r in results if r.whole and r.event.parts]
+    for result in sorted(complete_results, key=lambda r: r.sent_at):
         while position < len(changes) and changes[position][0] <= result.sent_at:
             _, engine, event = changes[position]
-            held[engine].update(event["stored"])
-            held[engine].difference_update(event["removed"])
+            cached_blocks[engine].update(event["stored"])
+            cached_blocks[engine].difference_update(event["removed"])
             position += 1
         blocks = hash_event_blocks(result.event)
-        best = max(_count_leading(blocks, engine) for engine in held)
+        best = max(_count_leading(blocks, engine) for engine in cached_blocks)
         wasted += max(0, best * BLOCK_TOKENS - result.cached_tokens)
     return wasted
 
 
-def _count_leading(blocks: Sequence[int], held: set[int]) -> int:
+def _count_leading(blocks: Sequence[int], cached_blocks: set[int]) -> int:
     count = 0
     for block in blocks:
-        if block not in held:
+        if block not in cached_blocks:
             break
         count += 1
     return count
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -79,9 +79,9 @@
     try:
         with Fleet(fleet_options._replace(policy=policy), directory) as fleet:
             before = read_metrics(fleet)
-            began = time.monotonic()
+            started_at = time.monotonic()
             results = trio.run(_run_with_fault, fleet, events, options, inject_fault)
-            seconds = time.monotonic() - began
+            seconds = time.monotonic() - started_at
             after = read_metrics(fleet)
             logs = [read_cache_events(fleet, engine) for engine in fleet.engines]
             resident = max(read_resident_mb(i) for i in fleet.instances)
@@ -198,36 +198,36 @@
     parser.add_argument("--event-sample", type=int, default=1)
     parser.add_argument("--prefill-rate", type=int, default=8000)
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args()
+    args = parser.parse_args()
     from tools.faults import FAULTS
 
-    path = Path(given.trace)
-    path = path if path.exists() else TRACES / f"{given.trace}.jsonl"
+    path = Path(args.trace)
+    path = path if path.exists() else TRACES / f"{args.trace}.jsonl"
     events = load_trace(path)
-    if given.flood:
-        events = add_flood(events, given.flood)
+    if args.flood:
+        events = add_flood(events, args.flood)
     options = LoadOptions(
-        given.speed, given.resend_after, given.deadline_ms, given.obey_retry_after
+        args.speed, args.resend_after, args.deadline_ms, args.obey_retry_after
     )
     engine_args = (
         "--cache-blocks",
-        str(given.cache_blocks),
+        str(args.cache_blocks),
         "--prefill-rate",
-        str(given.prefill_rate),
+        str(args.prefill_rate),
     )
-    sample = f"cache_event_sample = {given.event_sample}\n"
+    sample = f"cache_event_sample = {args.event_sample}\n"
     fleet = FleetOptions(engine_args=engine_args, settings_lines=sample)
     bound = compute_max_hit_rate(events)
     print(f"{path.stem}: {len(events)} requests, bound of the hit rate {bound:.1%}")
     runs = []
-    for _ in range(given.rounds):
-        for policy in given.policy or POLICIES:
-            run = replay(policy, events, options, fleet, FAULTS[given.fault])
-            figures = collect_figures(run) | {"bound": bound, "fault": given.fault}
+    for _ in range(args.rounds):
+        for policy in args.policy or POLICIES:
+            run = replay(policy, events, options, fleet, FAULTS[args.fault])
+            figures = collect_figures(run) | {"bound": bound, "fault": args.fault}
             print_figures(figures)
             runs.append(figures)
-    if given.json:
-        Path(given.json).write_text(json.dumps(runs, indent=1))
+    if args.json:
+        Path(args.json).write_text(json.dumps(runs, indent=1))
 
 
 if __name__ == "__main__":
--- a/tools/binary/launcher.py
+++ b/tools/binary/launcher.py
@@ -55,8 +55,8 @@
 def main() -> None:
     """Check the Python version and run the command-line interface."""
     if sys.version_info[:2] != NEEDED:
-        wanted = ".".join(map(str, NEEDED))
-        sys.exit(f"error: this file was built for Python {wanted}")
+        required = ".".join(map(str, NEEDED))
+        sys.exit(f"error: this file was built for Python {required}")
     sys.meta_path.insert(0, ExtensionFinder(ARCHIVE))
     from ashpond.cli import main as run
 
--- a/tools/claimcost.py
+++ b/tools/claimcost.py
@@ -33,10 +33,10 @@
     waits: list[float] = []
 
     async def claim(number: int) -> None:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         outcome = await claims.claim(f"{name}/{number}", "digest", 60.0)
         assert isinstance(outcome, Claim), outcome
-        waits.append(time.perf_counter() - began)
+        waits.append(time.perf_counter() - started_at)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(claims.run)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -79,10 +79,10 @@
     parser.add_argument(
         "--kill-engine", action="store_true", help="kill an engine after 5 s"
     )
-    given = parser.parse_args()
-    program = (given.binary,) if given.binary else (sys.executable, "-m", "ashpond")
+    args = parser.parse_args()
+    program = (args.binary,) if args.binary else (sys.executable, "-m", "ashpond")
     outcomes = {
-        policy: run_policy(policy, program, kills_engine=given.kill_engine)
+        policy: run_policy(policy, program, kills_engine=args.kill_engine)
         for policy in POLICIES
     }
     failures = [print_figures(policy, results) for policy, results in outcomes.items()]
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -187,7 +187,7 @@
         """
         admin = self.instances[0].admin
         environment = {"ASHPOND_ADMIN": admin, "ASHPOND_ADMIN_TOKEN": ADMIN_TOKEN}
-        done = subprocess.run(
+        completed = subprocess.run(
             [*self.options.program, *arguments],
             env=os.environ | environment,
             capture_output=True,
@@ -195,9 +195,9 @@
             timeout=60,
             check=False,
         )
-        if done.returncode:
-            raise RuntimeError(f"{arguments}: {done.stdout}{done.stderr}")
-        return done.stdout
+        if completed.returncode:
+            raise RuntimeError(f"{arguments}: {completed.stdout}{completed.stderr}")
+        return completed.stdout
 
     def wait_until_ready(self) -> None:
         """Wait until each instance is ready and knows all the others.
@@ -206,9 +206,9 @@
         """
         for instance in self.instances:
             self._wait_for(f"http://{instance.admin}/readyz")
-            end = time.monotonic() + START_TIMEOUT_SECONDS
+            deadline = time.monotonic() + START_TIMEOUT_SECONDS
             while self.count_known_instances(instance) < len(self.instances):
-                if time.monotonic() > end:
+                if time.monotonic() > deadline:
                     raise RuntimeError(f"{instance.name} does not see the others")
                 time.sleep(POLL_SECONDS)
 
@@ -250,10 +250,10 @@
             if process.popen.poll() is None:
                 process.popen.send_signal(signal.SIGCONT)
                 process.popen.send_signal(signal.SIGTERM)
-        end = time.monotonic() + STOP_TIMEOUT_SECONDS
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for process in started:
             try:
-                process.popen.wait(max(0.1, end - time.monotonic()))
+                process.popen.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 print(f"{process.name} did not end and is killed", file=sys.stderr)
                 self.kill(process)
@@ -274,8 +274,8 @@
             )
 
     def _wait_for(self, url: str) -> None:
-        end = time.monotonic() + START_TIMEOUT_SECONDS
-        while time.monotonic() < end:
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             with contextlib.suppress(httpx.HTTPError):
                 if self.http.get(url).status_code == httpx.codes.OK:
                     return
--- a/tools/load.py
+++ b/tools/load.py
@@ -124,16 +124,16 @@
         sent_at = time.time()
         base = Result(event, sent_at, 0, "timeout", sends=attempt + 1)
         limit = self._options.resend_after or CLIENT_TIMEOUT_SECONDS
-        began = trio.current_time()
+        started_at = trio.current_time()
         with trio.move_on_after(limit):
             try:
-                base = await self._exchange(event, base, attempt, began)
+                base = await self._exchange(event, base, attempt, started_at)
             except httpx.HTTPError as error:
                 base = base._replace(kind=type(error).__name__)
         return base._replace(total=trio.current_time() - self._intended)
 
     async def _exchange(
-        self, event: Event, base: Result, attempt: int, began: float
+        self, event: Event, base: Result, attempt: int, started_at: float
     ) -> Result:
         address = self._addresses[(self._number + attempt) % len(self._addresses)]
         path, body, headers = make_request(event, self._options)
@@ -142,7 +142,7 @@
         async with request as response:
             if response.status_code != OK:
                 await response.aread()
-                refused_in = trio.current_time() - began
+                refused_in = trio.current_time() - started_at
                 return _read_refusal(base, response, refused_in)
             data = b""
             first = 0.0
@@ -187,7 +187,7 @@
     ]
 
 
-def _read_refusal(base: Result, response: httpx.Response, took: float) -> Result:
+def _read_refusal(base: Result, response: httpx.Response, seconds: float) -> Result:
     try:
         error = orjson.loads(response.content)["error"]
     except (orjson.JSONDecodeError, KeyError):
@@ -196,7 +196,7 @@
         status=response.status_code,
         kind=error["type"],
         retry_after=(error["retry_after_ms"] or 0) / 1000,
-        refused_in=took,
+        refused_in=seconds,
     )
 
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -49,10 +49,10 @@
 
 def time_per_call(operation: Callable[[], Any], count: int) -> float:
     """Return the mean processor time of one call in seconds."""
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(count):
         operation()
-    return (time.process_time() - began) / count
+    return (time.process_time() - started_at) / count
 
 
 def measure_bytes(build: Callable[[int], Any], few: int, many: int) -> float:
@@ -74,13 +74,13 @@
     text = "x" * 20_000
     chain = hash_prompt(seed, text, [8000, 14_000])
 
-    def place(count: int) -> float:
+    def time_placement(count: int) -> float:
         candidates = [make_candidate(f"engine-{n}") for n in range(count)]
         return time_per_call(
             lambda: choose_engine(candidates, chain, 5000, "north", 0.0, rng), 200
         )
 
-    few, many = place(5), place(205)
+    few, many = time_placement(5), time_placement(205)
     hashing = time_per_call(lambda: hash_prompt(seed, text, [8000]), 300)
     return [
         Slope("hash a prompt of 20,000 characters", hashing * 1e3, "ms"),
@@ -118,12 +118,12 @@
     view.adopt_incarnation("i")
     events = make_events(40_000)
 
-    def take() -> None:
+    def process_batch() -> None:
         batch = merge_events(events)
         assert batch is not None
         view.note_events(*batch)
 
-    return time_per_call(take, 3) / 40_000
+    return time_per_call(process_batch, 3) / 40_000
 
 
 def measure_view_bytes() -> float:
@@ -173,7 +173,7 @@
     packed = msgpack.packb([list(make_fact(n)) for n in range(400)])
     sequence = 0
 
-    def take() -> None:
+    def process_batch() -> None:
         nonlocal sequence
         sequence += 1
         for item in msgpack.unpackb(packed):
@@ -181,7 +181,7 @@
             table.put(fact, 0.0)
         table.collect_updates("link")
 
-    return time_per_call(take, 20) / 400
+    return time_per_call(process_batch, 20) / 400
 
 
 def measure_attempt_bytes() -> float:
@@ -307,7 +307,7 @@
     per_chunk = chunks / (REQUESTS // 3)
     plain = measure_cost(fleet, instance, lambda n: claim(""), REQUESTS)
     writes = read_instance_metrics(fleet, instance)["store_write"]
-    keyed = measure_cost(fleet, instance, lambda n: claim(f"key-{n}"), REQUESTS)
+    with_claim = measure_cost(fleet, instance, lambda n: claim(f"key-{n}"), REQUESTS)
     time.sleep(0.5)
     claimed = read_instance_metrics(fleet, instance)["store_write"] - writes
     background = idle.processor / idle.seconds
@@ -319,10 +319,10 @@
         Slope("a streamed request with 1 token", net(short), "ms"),
         Slope("a streamed chunk", (net(long) - net(short)) / (per_chunk - 2), "ms"),
         Slope("a plain call", net(plain), "ms"),
-        Slope("a claim, on top", net(keyed) - net(plain), "ms"),
+        Slope("a claim, on top", net(with_claim) - net(plain), "ms"),
         Slope(
             "a claim: added latency",
-            keyed.milliseconds_per_operation - plain.milliseconds_per_operation,
+            with_claim.milliseconds_per_operation - plain.milliseconds_per_operation,
             "ms",
         ),
         Slope("a claim: platform writes", claimed / REQUESTS, "writes"),
@@ -348,10 +348,10 @@
 ) -> Cost:
     """Run an operation ``count`` times in sequence and return the instance's cost."""
     before = read_instance_metrics(fleet, instance)["processor_seconds"]
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(count):
         operation(number)
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     after = read_instance_metrics(fleet, instance)["processor_seconds"]
     return Cost(count, after - before, seconds)
 
@@ -360,14 +360,14 @@
     """Print the table of slopes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", metavar="FILE")
-    given = parser.parse_args()
+    args = parser.parse_args()
     slopes = measure_decisions() + measure_processes()
     for slope in slopes:
         print(f"| {slope.name:38} | {slope.value:10.3g} | {slope.unit} |")
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(f"(this tool itself: {peak:.0f} MB)")
-    if given.json:
-        Path(given.json).write_text(json.dumps([s._asdict() for s in slopes], indent=1))
+    if args.json:
+        Path(args.json).write_text(json.dumps([s._asdict() for s in slopes], indent=1))
 
 
 if __name__ == "__main__":
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -34,14 +34,14 @@
 
     The result is infinite if an instance does not run it before the timeout.
     """
-    began = time.monotonic()
-    late = list(fleet.instances)
-    while late and time.monotonic() - began < TIMEOUT_SECONDS:
-        late = [i for i in late if read_generation(fleet, i.admin) < generation]
+    started_at = time.monotonic()
+    pending = list(fleet.instances)
+    while pending and time.monotonic() - started_at < TIMEOUT_SECONDS:
+        pending = [i for i in pending if read_generation(fleet, i.admin) < generation]
         time.sleep(POLL_SECONDS)
-    if late:
+    if pending:
         return float("inf")
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
 def read_generation(fleet: Fleet, admin: str) -> int:
@@ -72,18 +72,18 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--instances", type=int, default=8)
     parser.add_argument("--rounds", type=int, default=20)
-    given = parser.parse_args()
+    args = parser.parse_args()
     directory = Path(tempfile.mkdtemp(prefix="ashpond-spread-"))
-    options = FleetOptions(instances=given.instances, engines=1, services=1)
+    options = FleetOptions(instances=args.instances, engines=1, services=1)
     try:
         with Fleet(options, directory) as fleet:
             for stops in (False, True):
-                times = measure(fleet, given.rounds, with_store_outage=stops)
+                times = measure(fleet, args.rounds, with_store_outage=stops)
                 print(
-                    f"{given.instances} instances, store "
+                    f"{args.instances} instances, store "
                     f"{'just gone' if stops else 'up':9}: "
                     f"median {statistics.median(times):.2f} s, "
-                    f"longest {max(times):.2f} s of {given.rounds}"
+                    f"longest {max(times):.2f} s of {args.rounds}"
                 )
     finally:
         shutil.rmtree(directory)
