--- a/ashpond/controllers/allowancegrants.py
+++ b/ashpond/controllers/allowancegrants.py
@@ -17,7 +17,7 @@
 
 TOO_MANY_REQUESTS_STATUS = 429
 UNAVAILABLE_STATUS = 503
-# When a client may retry if no coordinator answered: by then the next may (seconds).
+# Retry-After if no coordinator answered: the next one may by then (seconds).
 UNANSWERED_RETRY_SECONDS = 0.3
 
 
--- a/ashpond/controllers/allowances.py
+++ b/ashpond/controllers/allowances.py
@@ -54,7 +54,7 @@
 MAX_FRAME_BYTES = 1 << 20
 # How often links, instance count and accounts are adjusted to the members (seconds).
 ADJUST_SECONDS = 0.5
-# The same until configured: coordinators only get the time of linked instances.
+# The interval until configured; accrued time is sent only over links (seconds).
 STARTUP_SECONDS = 0.05
 # The configuration version and limit of a team that no peer has named.
 _UNKNOWN: tuple[int, Allowance | None] = (0, None)
@@ -78,7 +78,7 @@
     :param get_bounds: returns by how much limits may be exceeded.
     :param count_use: counts the cost of a team's request and whether it was granted.
     :param connect: opens a connection to a peer, by default to its address.
-    :param find_server_rate: returns the requests per second of a start id, or None.
+    :param find_server_rate: returns a start's limit (requests per second) or None.
     :param has_server_limits: returns whether any server has a rate limit.
     """
 
@@ -106,7 +106,7 @@
         self._find_server_rate = find_server_rate
         self._has_server_limits = has_server_limits
         self._links_needed_until = now
-        # The previous incarnation of this instance has accrued the time before.
+        # Earlier time was accrued by the previous incarnation of this instance.
         self._accrues_since = now
         self._instance_count = InstanceCount(now)
         self._ledgers: dict[tuple[int, int], Ledger] = {}
@@ -201,7 +201,7 @@
 
     def refund(self, grant: AllowanceGrant) -> None:
         """Return the grant of a request that has not run, unless it has expired."""
-        # Refunded later, it could exceed the bound of the next window.
+        # A later refund could exceed the bound of the next window.
         if not grant.cost or trio.current_time() - grant.at > REFUND_SECONDS / 2:
             return
         if not self._links:
@@ -290,7 +290,7 @@
                 ledger.refund(entry.team, allowance, accrual, entry.cost, now)
 
     def _find_allowance(self, request: AllowanceRequest) -> Allowance | None:
-        """Return a team's limit by the newest configuration of any requests, or None.
+        """Return a team's limit by the newest configuration named in requests, or None.
 
         Of two different limits of a server, the lower one holds.
         """
--- a/ashpond/controllers/budgets.py
+++ b/ashpond/controllers/budgets.py
@@ -69,7 +69,7 @@
             budget.keep_peers(peers)
 
     def measure_left(self, service: str) -> float:
-        """Return how many streams a weight load may cut: each costs one retry."""
+        """Return how many streams a weight load may cut off, at one retry each."""
         now = trio.current_time()
         budget = self.get(service)
         if self._get_updates().links.group:
--- a/ashpond/controllers/callquarantine.py
+++ b/ashpond/controllers/callquarantine.py
@@ -1,7 +1,7 @@
 """Quarantine of calls of the callers' API that crash the servers which run them.
 
 Instances report the crashes that they have seen in their gossip facts. They share no
-clock, so that times are sent as ages, and two times count as different only if they
+clock, so times are sent as ages, and two times count as different only if they
 are further apart than the longest propagation of a fact.
 """
 
@@ -43,7 +43,7 @@
 RETENTION_SECONDS = 600.0
 # A fact reaches all instances within two gossip periods (periods).
 MAX_GOSSIP_PERIODS = 2
-# Crashes in a fact, which is sent in each gossip period; some 70 bytes each.
+# The most crashes in a fact, which is sent each gossip period; some 70 bytes each.
 MAX_SENT_CRASHES = 32
 
 
--- a/ashpond/controllers/coordinatorlink.py
+++ b/ashpond/controllers/coordinatorlink.py
@@ -59,8 +59,8 @@
 class _Connection:
     """A connection to a coordinator, and the offset of its clock from this process's.
 
-    A coordinator's answer is on its way for a moment, so the offset is never estimated
-    too large, and accrued time never looks more recent than it is.
+    As an answer takes time to arrive, the offset is never estimated too large, and
+    accrued time never looks more recent than it is.
     """
 
     def __init__(self, stream: PeerStream, clock_offset: float):
@@ -86,7 +86,7 @@
 
     :param decide_locally: decides while this instance is its own coordinator.
     :param connect: opens a connection to an instance.
-    :param accrues_since: the time before was accrued elsewhere, or was already sent.
+    :param accrues_since: start of accrual; earlier time was accrued elsewhere or sent.
     """
 
     def __init__(
--- a/ashpond/controllers/crashdetection.py
+++ b/ashpond/controllers/crashdetection.py
@@ -28,13 +28,13 @@
 SAME_CRASH_SECONDS = 1.0
 # The shortest interval between two connection checks of a server (seconds).
 CHECK_INTERVAL_SECONDS = 0.5
-# Servers with failed attempts, and requests of each; a server has 24 to 64 slots.
+# The most servers with failed attempts, and requests of each (24 to 64 slots).
 MAX_SERVERS = 256
 MAX_REQUESTS = 64
-# Servers that wait for a connection check.
+# The most servers that wait for a connection check.
 MAX_CHECKS = 64
 # The time over which the rate of crashes is measured. After the start of an instance it
-# is the time since then, but at least the shorter one (seconds).
+# is the time since then, but at least the minimum below (seconds).
 HAZARD_SECONDS = 30.0
 MIN_HAZARD_SECONDS = 5.0
 MAX_CRASHES = 4_096
@@ -138,9 +138,9 @@
     ) -> None:
         """Record an attempt that failed without a complete answer.
 
-        A draining server closes its connections without having crashed, so that it is
+        A draining server closes its connections without having crashed, so it is
         ignored. After an idle timeout the server is not checked: it is probably busy,
-        so that a connection would prove nothing, and may take a slot of a full server.
+        so a connection would prove nothing, and might take a slot of a full server.
         """
         if fingerprint is None or server.is_draining:
             return
--- a/ashpond/controllers/directory.py
+++ b/ashpond/controllers/directory.py
@@ -57,14 +57,14 @@
         self.connect_failures = 0
         self.answered_at = float("-inf")
         self.is_misdirected = False
-        # Whether an answer has announced it; the row may show it much later.
+        # Whether an answer announced that it leaves; the row may show it much later.
         self.is_leaving = False
         # The end of the backoff that the server asked this instance for.
         self.backoff_until = 0.0
         self.rate_limit = NO_LIMIT
-        # When an answer here raised or lifted the limit, until that is sent once more.
+        # When an answer here raised or lifted the limit; None once that is sent again.
         self.limit_raised_at: float | None = None
-        # Until when no permit is requested, after so many refusals in a row.
+        # Until when no permit is requested, and the number of refusals in a row.
         self.permit_pause_until = 0.0
         self.permit_refusals = 0
         # Whether the latest row is invalid; the server is not used until it is valid.
--- a/ashpond/controllers/permits.py
+++ b/ashpond/controllers/permits.py
@@ -25,7 +25,7 @@
 # How long no permit is requested for a newly limited server, until its coordinator
 # has received the first accrued time of all instances (seconds).
 FIRST_PERMIT_SECONDS = 0.3
-# A refused request is only promised a permit that is expected within this (seconds).
+# A coordinator promises a refused request a permit only within this time (seconds).
 MAX_PERMIT_WAIT_SECONDS = 2.0
 
 
--- a/ashpond/controllers/quarantine.py
+++ b/ashpond/controllers/quarantine.py
@@ -130,8 +130,8 @@
         """Wait, until ``until`` at the latest, until a request may be sent.
 
         A suspected request has a single attempt in flight at a time: if that crashes
-        its server, no further server is lost, and if it is answered, all attempts are
-        free. A request that is held isn't sent until its state has settled.
+        its server, no further server is lost, and once it is answered, all others may
+        be sent. A request that is held isn't sent until its state has settled.
         """
         if fingerprint is None:
             yield AttemptDecision.FREE
@@ -170,9 +170,9 @@
     def _is_home(self, fingerprint: str) -> bool:
         """Return whether this instance is the rendezvous-hash home of a request.
 
-        Only the home tries a contested request. When all six instances of a fleet tried
-        it, at 20 attempts a second, they tried a rival that was lost in the same
-        crashes as well, and ten more servers crashed.
+        Only the home tries a contested request. If all instances tried it, they would
+        also try the other request that was lost in the same crashes: with six instances
+        and 20 attempts a second, ten more servers crashed.
         """
         names = {self._name, *self._list_instances()}
         return rank_by_rendezvous(int(fingerprint, 16), sorted(names))[0] == self._name
@@ -270,7 +270,7 @@
             self._rows.remove(fingerprint)
 
     def _note_cleared(self, cleared: list[ServerCrash], reason: str) -> None:
-        """Log that a request is not the cause, and report it if its crashes were."""
+        """Log that a request is not the cause; report it if peers know its crashes."""
         if not cleared:
             return
         fingerprint = cleared[0].fingerprint
--- a/ashpond/controllers/quarantinerows.py
+++ b/ashpond/controllers/quarantinerows.py
@@ -24,7 +24,7 @@
     from ashpond.gateway.store import Store
 
 QUARANTINE_TABLE = "ashpond-quarantine"
-# Rows that wait to be written, one for each quarantined request.
+# The most rows that wait to be written, one for each quarantined request.
 MAX_QUEUED_WRITES = 32
 RETRY_SECONDS = 0.5
 MAX_WRITE_ATTEMPTS = 10
--- a/ashpond/controllers/serverdirectives.py
+++ b/ashpond/controllers/serverdirectives.py
@@ -30,7 +30,7 @@
 # Longer backoffs are cut to this (seconds).
 MAX_BACKOFF_SECONDS = 3600.0
 # A random jitter keeps instances that were rejected together from retrying at once: up
-# to this share of the backoff, and no more than so many seconds.
+# to this share of the backoff, but at most ``MAX_JITTER_SECONDS``.
 JITTER_SHARE = 0.1
 MAX_JITTER_SECONDS = 0.5
 
--- a/ashpond/decisions/allowances.py
+++ b/ashpond/decisions/allowances.py
@@ -7,7 +7,7 @@
 instance is assumed to be the coordinator, and under partitions, crashes and restarts:
 a fault makes the allowance smaller, never larger.
 
-With many instances, a fixed part of the limit each would be smaller than one long
+With many instances, a fixed part of the limit for each would be less than one long
 prompt, and could not follow a team that sends many times its usual load.
 """
 
@@ -45,7 +45,7 @@
 REFUND_SECONDS = 0.25
 # Accrued time is recorded in steps of this length (seconds).
 STEP_SECONDS = 0.125
-# Refunds and partly elapsed steps may count in a window that begins up to this later.
+# Refunds and partly elapsed steps may still count in windows up to this much later.
 MARGIN_SECONDS = REFUND_SECONDS + STEP_SECONDS
 # Allowance is retained for at least this time, so that a team can save up for a long
 # prompt (seconds). Where the bound is too tight for that, the accrual rate is lowered.
--- a/ashpond/decisions/claims.py
+++ b/ashpond/decisions/claims.py
@@ -2,7 +2,7 @@
 
 Before dispatch, an instance inserts a claim row on condition that there is none. Only
 an instance that has *seen* its own attempt id in the row may dispatch, and each attempt
-is dispatched at most once. A claim never expires into another instance's hands: it is
+is dispatched at most once. A claim never passes to another instance by expiry: it is
 taken over only after its owner has reported that its attempt was not sent and never
 will be. If the owner cannot confirm that, the outcome is unknown.
 
--- a/ashpond/decisions/quarantine.py
+++ b/ashpond/decisions/quarantine.py
@@ -107,7 +107,7 @@
 
 
 class _Assessment(NamedTuple):
-    """The requests to quarantine or contested, with the times of their last crashes.
+    """The quarantined and contested requests, with the times of their last crashes.
 
     ``attributed`` holds the starts whose crashes the quarantined requests caused.
     """
@@ -199,11 +199,11 @@
         return assessed
 
     def _list_successive(self, crashes: Sequence[ServerCrash]) -> list[ServerCrash]:
-        """Return the crashes whose request was sent after the crash before.
+        """Return the crashes whose request was sent after the previous crash.
 
         An event such as a power failure stops many servers at once, and with them a
         request that was in flight at several. A further crash counts only if the
-        request was sent after the one before.
+        request was sent after the previous one.
         """
         chain: list[ServerCrash] = []
         last = float("-inf")
--- a/ashpond/decisions/selection.py
+++ b/ashpond/decisions/selection.py
@@ -48,9 +48,9 @@
 # A request and its answer each cross the network between two failure domains once.
 DOMAIN_COST_SECONDS = 0.004
 # A prompt and its answer are 10 to 25 KB, and traffic between failure domains is
-# charged. At 40 requests a second, this cost reduces it from 16 MB to 12 MB in 50 s. It
-# also keeps instances of different domains from all sending to the same idle engine;
-# the share of the requests' worth that is earned rises by 0.00 to 0.04.
+# charged: at 40 requests a second, this cost reduces it from 16 MB to 12 MB in 50 s. It
+# also keeps instances of different domains from all choosing the same idle engine,
+# which raises the earned share of the requests' worth by 0.00 to 0.04.
 PROMPT_DOMAIN_COST_SECONDS = 0.04
 # An answer from old weights loses a fifth of its worth, as much as a late answer.
 STALE_COST_SECONDS = 0.25
@@ -78,7 +78,7 @@
 # shorter than half a chunk (tokens).
 SHORT_TOKENS = 2_048
 SHORT_SHARE = 0.2
-# A short prompt on another server is delayed itself; a long one there delays many.
+# A short prompt among long ones is delayed; a long one among short ones delays many.
 SHORT_MISMATCH_SECONDS = 0.06
 LONG_MISMATCH_SECONDS = 0.15
 # The rendezvous key by which all instances agree on the servers for short prompts.
@@ -190,11 +190,11 @@
     """Return a random sample of servers of each kind for one request to choose among.
 
     Many instances learn of each other's choices half a second late. Without sampling,
-    all of them send to the server that looks idlest meanwhile: of 45 engines, half were
-    idle while others had 70,000 prompt tokens queued.
+    all of them would send to the server that looks idlest: of 45 engines, half were
+    then idle while others had 70,000 prompt tokens queued.
 
-    Servers with the newest weights, at first a few, are drawn no more often than the
-    others: if all requests went there, those that queue would be late.
+    Servers with the newest weights, of which there are few at first, are drawn no more
+    often than the others: if all requests went there, those that queue would be late.
 
     :param kinds: the servers, grouped by the prompt size they are reserved for.
     """
