--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -95,9 +95,9 @@
         return True
     if instance.measure_stopped(sent_at, ended_at) > REQUEST_TIMEOUT_SECONDS:
         return True
-    last_word = ended_at - EXTRA_WAIT_SECONDS
+    refusal_since = ended_at - EXTRA_WAIT_SECONDS
     if outcome.ending is Ending.GIVEN_UP and instance.measure_stopped(
-        last_word, ended_at
+        refusal_since, ended_at
     ):
         # Stopped at the time for its refusal.
         return True
--- a/tests/soak/directives.py
+++ b/tests/soak/directives.py
@@ -53,7 +53,7 @@
     def __init__(self, world: World, rng: random.Random):
         self._world = world
         self._rng = rng
-        self._left = 0
+        self._leaving_count = 0
 
     async def run(self) -> None:
         """Play statements until cancelled."""
@@ -62,9 +62,9 @@
             while True:
                 await trio.sleep(self._rng.uniform(*BETWEEN_SECONDS))
                 servers = self._world.servers.values()
-                silent = [server for server in servers if not server.has_directive]
-                if len(silent) > 1:
-                    server = self._rng.choice(silent)
+                available = [server for server in servers if not server.has_directive]
+                if len(available) > 1:
+                    server = self._rng.choice(available)
                     server.has_directive = True
                     nursery.start_soon(self._rng.choice(kinds), server)
 
@@ -89,10 +89,10 @@
 
     async def _leave(self, server: Server) -> None:
         """Leave for good; another server takes its place at once."""
-        if self._left >= MAX_LEAVING_STARTS:
+        if self._leaving_count >= MAX_LEAVING_STARTS:
             server.clear_directive()
             return
-        self._left += 1
+        self._leaving_count += 1
         server.directive = Directive(is_leaving=True)
         await self._world.add_server()
         await trio.sleep(self._rng.uniform(*ENTRY_SECONDS))
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -99,8 +99,8 @@
 def reset(stream: trio.SocketStream) -> None:
     """Close a connection so that the other side sees a reset."""
     try:
-        hard = struct.pack("ii", 1, 0)
-        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, hard)
+        linger = struct.pack("ii", 1, 0)
+        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     except OSError:
         pass
     stream.socket.close()
