--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real instances as processes, faults from outside, promises."""
+"""Randomized soak test of real instance processes under injected faults."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -18,7 +18,7 @@
 
 
 def play_seed(play: Play, seconds: float, seed: int) -> tuple[str, list[str]]:
-    """Play one seed; return a line on it, and what was broken."""
+    """Play one seed; return a summary line and the violations found."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     world = World(seed, folder, play)
     broken = trio.run(world.run, seconds)
@@ -34,7 +34,7 @@
 def play_seeds(
     play: Callable[[int], tuple[str, list[str]]], seeds: Iterable[int], worlds: int
 ) -> Iterator[tuple[str, list[str]]]:
-    """Play seeds, several at once if asked; give their results in order."""
+    """Play seeds, up to ``worlds`` at once; yield their results in order."""
     if worlds == 1:
         yield from map(play, seeds)
         return
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""What no run of the soak may break."""
+"""Guarantees that every run of the soak has to keep."""
 
 from __future__ import annotations
 
@@ -20,14 +20,17 @@
     from tests.soak.world import World
 
 LEAST_SERVED = 0.9
-# Harm before a request may still act: pieces that were held back, open breakers.
+# Harm done before a request may still affect it: delayed data, open circuit breakers.
 UNHARMED_BEFORE_SECONDS = 1.0
-# Instances keep this back from the grace period for the end of the process.
+# Part of the grace period that instances reserve for shutting down the process.
 GRACE_MARGIN_SECONDS = 0.4
 
 
 def check(world: World, settled: float) -> list[str]:
-    """Return what was broken in a play that has ended."""
+    """Return the violations found in a run that has ended.
+
+    :param settled: Share of requests served after the faults have ended.
+    """
     broken = [f for outcome in world.outcomes for f in _check_one(world, outcome)]
     broken += find_lost(world)
     broken += find_directive_violations(world)
@@ -37,7 +40,7 @@
 
 
 def find_lost(world: World) -> list[str]:
-    """Return a line on each request that a server got and nobody answered."""
+    """Return a line for each request that reached a server but got no answer."""
     return [
         _describe(world, outcome)
         for outcome in world.outcomes
@@ -67,10 +70,10 @@
 
 
 def _is_lost(world: World, outcome: Outcome) -> bool:
-    """Whether a request was passed on and then not answered, without an excuse.
+    """Return whether a forwarded request got no answer without an excusing fault.
 
-    A request that crossed a close and reached no server is not lost: its client
-    knows that it may send it again.
+    A request that met a closing connection and reached no server is not lost: its
+    client knows that a retry is safe.
     """
     runs = world.ledger.runs.get(outcome.request_id, [])
     instance = world.find_instance(outcome.connection.instance)
@@ -99,7 +102,7 @@
     if outcome.ending is Ending.GIVEN_UP and instance.measure_stopped(
         refusal_since, ended_at
     ):
-        # Stopped at the time for its refusal.
+        # The instance was stopped when it had to send the refusal.
         return True
     term = instance.find_signal(
         signal.SIGTERM, outcome.connection.process_started_at, ended_at
@@ -109,7 +112,10 @@
 
 
 def _may_stream_be_cut(outcome: Outcome) -> bool:
-    """Whether a limit may have run out after the head, when no refusal can follow."""
+    """Return whether the route timeout may have passed after the response head.
+
+    No refusal can be sent then.
+    """
     elapsed = outcome.ended_at - outcome.sent_at
     return bool(outcome.status) and elapsed >= ROUTE_TIMEOUTS_MS[0] / 1000
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak, and what they have seen."""
+"""Clients of the soak and the outcomes of their requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 KINDS = {"once": ("POST", "/n/"), "again": ("GET", "/i/"), "stream": ("POST", "/s/")}
 REQUEST_TIMEOUT_SECONDS = 4.0
-# A client stays for this long after its patience, for an answer that says so.
+# Clients wait this much longer than the timeout, to receive the timeout response.
 EXTRA_WAIT_SECONDS = 1.5
 
 
@@ -26,7 +26,7 @@
 
 
 class Answer(NamedTuple):
-    """What came on a connection after a request; status 0 for none."""
+    """The response to a request as far as it arrived; status 0 for none."""
 
     status: int = 0
     body: bytes = b""
@@ -34,10 +34,11 @@
 
 
 class ConnectionUse(NamedTuple):
-    """The connection of a request, and what was before it (seconds).
+    """The connection of a request and its earlier use (times in seconds).
 
-    ``process_started_at`` is the start of the process that the instance then was.
-    ``idle_limit`` is the newest limit at sending, ``uses`` the earlier requests.
+    ``process_started_at`` is when the process that the client connected to started,
+    ``idle_limit`` the idle timeout configured at sending, ``uses`` the number of
+    earlier requests on the connection.
     """
 
     instance: str = ""
@@ -48,7 +49,7 @@
 
 
 class Outcome(NamedTuple):
-    """The end of one request, as its client saw it; status 0 for none."""
+    """The result of one request at its client; status 0 for no response."""
 
     request_id: str
     kind: str
@@ -69,7 +70,7 @@
     key: str,
     connection: ConnectionUse | None = None,
 ) -> Outcome:
-    """Send one request on a connection of its own; return what came."""
+    """Send one request on a new connection and return its outcome."""
     sent_at = trio.current_time()
     answer = Answer()
     with trio.move_on_after(REQUEST_TIMEOUT_SECONDS + EXTRA_WAIT_SECONDS):
@@ -95,7 +96,7 @@
     answer: Answer,
     connection: ConnectionUse,
 ) -> Outcome:
-    """Return the end of a request, which has come now."""
+    """Return the outcome of a request that ends now."""
     is_whole = answer.ending is Ending.ANSWERED
     now = trio.current_time()
     end = (answer.status, answer.body, is_whole, answer.ending, now, connection)
@@ -109,7 +110,7 @@
     request_id: str,
     key: str,
 ) -> Answer:
-    """Send one request on a connection; return what came until patience ends."""
+    """Send one request on a connection; return what arrives before the timeout."""
     status, body = 0, b""
     with trio.move_on_after(REQUEST_TIMEOUT_SECONDS + EXTRA_WAIT_SECONDS):
         try:
--- a/tests/soak/directives.py
+++ b/tests/soak/directives.py
@@ -1,4 +1,4 @@
-"""Servers of the soak that name limits, ask for backoffs and leave; what must hold."""
+"""Directives that servers of the soak send, and checks that instances follow them."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 LIMITED_SECONDS = (3.5, 7.0)
 BACKOFFS = (0.3, 1.0, 2.5)
 REJECTING_SECONDS = (0.5, 2.5)
-# From a server's first word that it leaves until its entry goes.
+# From the start of a server's leaving directive until its entry is removed.
 ENTRY_SECONDS = (1.0, 4.0)
 MAX_LEAVING_STARTS = 3
-# What may keep an instance from a word, or arrivals from their time, acts for so long;
-# what an instance was told before a restart or freeze does not bind it.
+# A proxy fault may delay directives or requests for this long after it ends. Directives
+# that an instance received before a restart or freeze are not binding.
 EXCUSED_SECONDS = 1.5
 EXCUSING_SIGNALS = (signal.SIGKILL, signal.SIGTERM, signal.SIGSTOP, signal.SIGCONT)
 
 
 class LimitPeriod(NamedTuple):
-    """A time in which a server named one limit."""
+    """A period in which a server announced one limit."""
 
     server: str
     rate: float
@@ -48,7 +48,7 @@
 
 
 class DirectivePlayer:
-    """Lets servers say something of themselves, several at a time."""
+    """Player that makes servers send directives, several servers at a time."""
 
     def __init__(self, world: World, rng: random.Random):
         self._world = world
@@ -56,7 +56,7 @@
         self._leaving_count = 0
 
     async def run(self) -> None:
-        """Play statements until cancelled."""
+        """Play directives until cancelled."""
         kinds = [self._name_limit, self._name_limit, self._ask_for_backoff, self._leave]
         async with trio.open_nursery() as nursery:
             while True:
@@ -88,7 +88,7 @@
             server.clear_directive()
 
     async def _leave(self, server: Server) -> None:
-        """Leave for good; another server takes its place at once."""
+        """Make a server leave for good and add a replacement at once."""
         if self._leaving_count >= MAX_LEAVING_STARTS:
             server.clear_directive()
             return
@@ -100,7 +100,7 @@
 
 
 def find_directive_violations(world: World) -> list[str]:
-    """Return a line on each word of a server that was not kept."""
+    """Return a line for each violation of a directive."""
     checker = _DirectiveChecker(world)
     return [
         *checker.list_after_leaving(),
@@ -110,7 +110,7 @@
 
 
 class _DirectiveChecker:
-    """What reached servers, by the instance that sent it."""
+    """Check of the arrivals at servers, grouped by the sending instance."""
 
     def __init__(self, world: World):
         self._world = world
@@ -122,7 +122,10 @@
                 self._arrivals[server, outcome.connection.instance].append(at)
 
     def _find_informed(self, issued: IssuedDirective) -> str | None:
-        """Return the instance that has read a word, as its client got an answer."""
+        """Return the instance that received a directive, if its client got an answer.
+
+        Only a complete answer shows that the instance has read the directive.
+        """
         outcome = self._outcomes.get(issued.request_id)
         return (
             outcome.connection.instance
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What the soak does to store, servers and instances."""
+"""Faults that the soak injects into the store, servers and instances."""
 
 from __future__ import annotations
 
@@ -15,29 +15,31 @@
     from tests.soak.world import World
 
 FAULT_SECONDS = (0.3, 1.5)
-# Holds up an event loop so that requests and limits fall into one step.
+# Suspends an event loop so that requests and expiring limits meet in one iteration.
 PAUSE_SECONDS = (0.02, 0.3)
-# Between pauses of a series; connections have to become idle in it.
+# Between pauses of a series, long enough for connections to become idle.
 BETWEEN_PAUSES_SECONDS = (0.02, 0.4)
-# Between the steps of other series; the shortest cross in the store's feed.
+# Between the steps of other series; the shortest make changes overlap in the store's
+# feed.
 BETWEEN_STEPS_SECONDS = (0.03, 0.4)
 DOWN_SECONDS = (0.0, 0.5)
-# How old the copy is from which a store comes back, and when it has been told again.
+# Age of the copy from which the store is restored, and the delay until the entries are
+# written again.
 COPY_AGE_SECONDS = (0.2, 4.0)
 REWRITE_SECONDS = (0.0, 0.5)
 UNNOTICED_SHARE = 0.5
-# Limits that a site may set (ms). The long ones outlast the close of an instance
-# that leaves, 2.6 s after the signal.
+# Idle timeouts that an operator may set (ms). The long ones exceed the 2.6 s after the
+# signal in which a leaving instance closes its connections.
 IDLE_LIMITS_MS = (300, 3000)
 LONG_LIMITS_MS = (2700, 3000)
-# The routes' limits; a whole answer takes a tenth of the shortest.
+# Timeouts of the routes; a whole answer takes a tenth of the shortest.
 ROUTE_TIMEOUTS_MS = (2000, 4000)
 STEPS = (2, 5)
 PAUSES = (4, 12)
 
 
 class Faults:
-    """One fault after the other, each of another kind."""
+    """Sequence of single faults of random kinds."""
 
     def __init__(self, world: World):
         self._world = world
@@ -100,14 +102,14 @@
 
 
 class StoreRestores:
-    """A store that goes away and comes back from a copy some seconds old."""
+    """Store failures, each followed by a restore from a copy some seconds old."""
 
     def __init__(self, world: World, rng: random.Random):
         self._world = world
         self._rng = rng
 
     async def run(self) -> None:
-        """Play returns until cancelled; the operator and servers write again."""
+        """Restore the store until cancelled; its writers then write their entries."""
         memory = self._world.memory
         while True:
             copy = memory.take_copy()
@@ -118,8 +120,9 @@
             memory.restore_from(copy)
             memory.is_down = False
             if self._rng.random() < UNNOTICED_SHARE:
-                # A key is removed, and the version that was known is reached again,
-                # before anybody asks.
+                # Removes a key and passes the version that instances know before any
+                # of them sends a query, so that the version does not show the
+                # restore.
                 self._world.remove_key(self._rng)
                 self._world.rewrite_entries()
                 while memory.version <= known:
@@ -130,14 +133,14 @@
 
 
 class Series:
-    """Series of the same fault in quick succession; several may be played at once."""
+    """Series of the same fault in quick succession; several may run concurrently."""
 
     def __init__(self, world: World, rng: random.Random):
         self._world = world
         self._rng = rng
 
     async def run(self) -> None:
-        """Play series until cancelled; restarts go on beside the next series."""
+        """Play series until cancelled; restarts may overlap the next series."""
         series = [
             self._pause_repeatedly,
             self._pause_repeatedly,
@@ -173,7 +176,7 @@
             await trio.sleep(self._rng.uniform(*BETWEEN_PAUSES_SECONDS))
 
     async def _terminate_several(self, nursery: trio.Nursery) -> None:
-        """Let up to three leave within a second, each held up while it closes."""
+        """Terminate up to three instances within a second; pause each as it closes."""
         for instance in self._pick_running(3):
             down = self._rng.uniform(*DOWN_SECONDS)
             nursery.start_soon(instance.restart, signal.SIGTERM, down)
@@ -216,7 +219,7 @@
             await trio.sleep(self._rng.uniform(*BETWEEN_STEPS_SECONDS))
 
     def _pick_running(self, count: int) -> list[Instance]:
-        """Return instances that are up; one half is never restarted by series."""
+        """Return up to ``count`` running instances; at least half are left running."""
         is_up = [instance for instance in self._world.instances if instance.is_up]
         spare = len(is_up) - len(self._world.instances) // 2
         return self._rng.sample(is_up, max(0, min(count, spare)))
--- a/tests/soak/instances.py
+++ b/tests/soak/instances.py
@@ -1,4 +1,4 @@
-"""Instances as processes, and the signals that were sent to them."""
+"""Instances as processes and the signals sent to them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tests.gateway_builders import make_settings
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-# As in the users' deployments.
+# Equal to the values of production deployments.
 REVOCATION_SECONDS = 5.0
 GRACE_SECONDS = 4.0
 
 
 class SentSignal(NamedTuple):
-    """One signal, and when it was sent on the soak's clock."""
+    """One signal and when it was sent, on the clock of the soak."""
 
     at: float
     number: signal.Signals
@@ -35,7 +35,7 @@
         self.log = (folder / f"{name}.log").open("ab")
         values = make_settings()._asdict()
         del values["bounds"], values["mesh_limit"], values["link_mbps"]
-        # Addresses of the loopback range of their own: soaks may run side by side.
+        # Each soak has its own loopback addresses, so that several can run at once.
         values = {k: v.replace("127.0.0.1", host) for k, v in values.items()}
         values |= {"name": name, "store_address": store}
         bounds = {
@@ -55,11 +55,11 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether this life has answered: its signal handlers are in place."""
+        """Whether this process has answered, so that its signal handlers are set."""
         return self.answered_at > self.started_at and not self.is_restarting
 
     def start(self) -> None:
-        """Start the process, unless another fault's end has done so."""
+        """Start the process, unless it is running after another fault has ended."""
         if self.process is not None and self.process.poll() is None:
             return
         self.started_at = trio.current_time()
@@ -72,13 +72,13 @@
         )
 
     def send(self, number: int) -> None:
-        """Send a signal, if the process is there."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.signals.append(SentSignal(trio.current_time(), signal.Signals(number)))
             self.process.send_signal(number)
 
     async def stop(self, number: int) -> None:
-        """End the process by a signal and wait for its end."""
+        """Send a signal and wait for the process to exit; kill it if it does not."""
         process = self.process
         self.send(signal.SIGCONT)
         self.send(number)
@@ -91,8 +91,8 @@
             process.wait()
 
     async def restart(self, number: int, down_seconds: float) -> None:
-        """End the process, wait and start it; the end of the play waits for it."""
-        # Who is stopped has to be started again.
+        """Stop the process, wait and start it again, even if cancelled meanwhile."""
+        # A stopped instance has to be started again.
         with trio.CancelScope(shield=True):
             self.is_restarting = True
             await self.stop(number)
@@ -101,16 +101,16 @@
             self.is_restarting = False
 
     def find_signal(self, number: int, since: float, until: float) -> SentSignal | None:
-        """Return the first signal of this number in a time."""
+        """Return the first signal of this number between two times."""
         sent = (s for s in self.signals if since <= s.at <= until)
         return next((s for s in sent if s.number == number), None)
 
     def find_last_signal(self, until: float) -> SentSignal | None:
-        """Return the last signal up to a time."""
+        """Return the last signal sent until a time."""
         return next((s for s in reversed(self.signals) if s.at <= until), None)
 
     def measure_stopped(self, since: float, until: float) -> float:
-        """Return for how long of a time the process was stopped by SIGSTOP."""
+        """Return how many seconds between two times SIGSTOP suspended the process."""
         seconds = 0.0
         stopped_at: float | None = None
         end = SentSignal(until, signal.SIGCONT)
--- a/tests/soak/keepalive.py
+++ b/tests/soak/keepalive.py
@@ -1,4 +1,4 @@
-"""Clients that keep a connection for many requests, with idle times between."""
+"""Clients that reuse a connection for many requests with idle times between."""
 
 from __future__ import annotations
 
@@ -24,30 +24,31 @@
 if TYPE_CHECKING:
     from tests.soak.world import World
 
-# Idle times go a little over the limit, as some clients know an older one.
+# Idle times slightly exceed the limit, as some clients know an older, longer one.
 LONGEST_SHARE = 1.1
 # Clients that know the newest limit use a connection up to four fifths of it.
 WITHIN_LIMIT_SHARES = (0.5, 0.8)
-# Around the end of a limit (seconds): most before it, so that they are still taken.
+# Offset from the end of a limit (seconds); mostly before it, so that requests are
+# still accepted.
 EDGE_SECONDS = (-0.2, 0.03)
-# Steps in which a waiting client looks for newer limits and signals.
+# Interval at which a waiting client checks for newer limits and signals.
 POLL_SECONDS = 0.01
 RECONNECT_SECONDS = 0.1
-# Connections that are opened before there is a request for them, as pools do.
+# Share of connections that are opened before a request needs them, as pools do.
 OPENED_EARLY_SHARE = 0.3
 
 Idle = Callable[[Instance, float, float], Awaitable[None]]
 
 
 class KeepAliveClient:
-    """One client; it takes another connection only if the one it has was ended."""
+    """A client that opens another connection only when its current one has ended."""
 
     def __init__(self, world: World, rng: random.Random):
         self._world = world
         self._rng = rng
 
     async def run(self) -> None:
-        """Use one connection after the other until cancelled."""
+        """Use one connection after another until cancelled."""
         while True:
             instance = self._rng.choice(self._world.instances)
             connection = ConnectionUse(instance.name, instance.started_at)
@@ -89,7 +90,8 @@
         connection: ConnectionUse,
     ) -> bool:
         kind = choose_kind(self._rng)
-        # Half with the key that stays, or a long play's requests are mostly refused.
+        # Half of the requests use the key that is never removed; otherwise most of
+        # a long run would be refused.
         key = self._rng.choice(
             [self._world.keys[0], self._rng.choice(self._world.keys)]
         )
@@ -124,7 +126,10 @@
     async def _idle_to_close(
         self, instance: Instance, since: float, limit: float
     ) -> None:
-        """Wait until a leaving instance closes its connections, or the limit ends."""
+        """Wait until shortly before or after the instance closes the connection.
+
+        It does so when it leaves or when the idle limit ends.
+        """
         early = self._rng.uniform(*EDGE_SECONDS)
         end = since + limit + early
         while (now := trio.current_time()) < end:
@@ -135,7 +140,7 @@
 
 
 def has_ended(stream: trio.SocketStream) -> bool:
-    """Return whether the other side has ended a connection on which none waits."""
+    """Return whether the peer has closed a connection that no task reads from."""
     poll = select.poll()
     poll.register(stream.socket.fileno(), select.POLLIN)
     return bool(poll.poll(0))
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose connections can be harmed."""
+"""TCP proxy on loopback that can delay, reset or block its connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Harm(StrEnum):
-    """What a proxy does to its connections."""
+    """The fault that a proxy applies to its connections."""
 
     NONE = "none"
     DELAY = "delay"
@@ -23,7 +23,7 @@
 
 
 class Proxy:
-    """Passes connections on to ``target``, as long as ``harm`` lets it."""
+    """Proxy that forwards connections to ``target`` and applies ``harm`` to them."""
 
     def __init__(self, target: str):
         self.target = target
@@ -32,7 +32,7 @@
 
     @property
     def harm(self) -> Harm:
-        """What it does now."""
+        """The fault applied now."""
         return self._harms[-1][1]
 
     @harm.setter
@@ -40,7 +40,7 @@
         self._harms.append((trio.current_time(), harm))
 
     def was_harmed(self, since: float, until: float) -> bool:
-        """Return whether it did any harm in a time."""
+        """Return whether any fault was applied between two times."""
         ends = [at for at, _ in self._harms[1:]] + [float("inf")]
         return any(
             harm is not Harm.NONE and at <= until and end >= since
@@ -97,7 +97,7 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Close a connection so that the other side sees a reset."""
+    """Close a connection so that the peer receives a reset."""
     try:
         linger = struct.pack("ii", 1, 0)
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Engines and plain servers of the soak, which keep what they have run."""
+"""Backend servers of the soak, which record the requests they process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Run(NamedTuple):
-    """One request that a server began to work on."""
+    """One request that a server began to process."""
 
     at: float
     server_id: str
@@ -28,7 +28,7 @@
 
 
 class Arrival(NamedTuple):
-    """A request that reached a server, run or not."""
+    """A request that reached a server, whether processed or rejected."""
 
     at: float
     server: str
@@ -36,7 +36,7 @@
 
 
 class IssuedDirective(NamedTuple):
-    """What a server said of itself in the answer to a request."""
+    """The directive that a server sent in the answer to a request."""
 
     at: float
     server: str
@@ -45,7 +45,7 @@
 
 
 class Ledger:
-    """What all servers have got and run, the runs by request id, and have said."""
+    """Record of the arrivals, runs (by request id) and directives of all servers."""
 
     def __init__(self) -> None:
         self.runs: dict[str, list[Run]] = defaultdict(list)
@@ -63,17 +63,17 @@
 
 
 class Server:
-    """One life of a backend server behind a listener of its own."""
+    """One incarnation of a backend server with its own listener."""
 
     def __init__(self, server_id: str, ledger: Ledger):
         self.server_id = server_id
         self.ledger = ledger
-        # What it says of itself in its answers at present.
+        # Sent in every answer at present.
         self.directive = NO_DIRECTIVE
         self.has_directive = False
 
     def clear_directive(self) -> None:
-        """Say nothing more of itself."""
+        """Send no directive from now on."""
         self.directive = NO_DIRECTIVE
         self.has_directive = False
 
@@ -131,7 +131,7 @@
 
 
 def make_body(request_id: str) -> bytes:
-    """Return the one whole answer to a request."""
+    """Return the only correct answer body for a request."""
     return f"answer to {request_id} ".encode() * 20
 
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The world of one soak: store, servers, instances, faults and checks."""
+"""Environment of one soak: store, servers, instances, faults and checks."""
 
 from __future__ import annotations
 
@@ -28,16 +28,21 @@
 from tests.soak.servers import Ledger, Server
 from tests.test_platform_store import answer_call
 
-# Instances that were restarted need a second or two, on a busy machine more.
+# Restarted instances need a second or two, and longer on a busy machine.
 RECOVERY_SECONDS = 30.0
 REQUEST_SECONDS = 0.04
 SINGLE_FAULTS = 2
-# Enough for the many removals of series, while some are left to be served.
+# Enough for the many removals by series, so that some keys remain valid.
 SERIES_KEYS = 16
 
 
 class Play(NamedTuple):
-    """Who takes part; without keepers and series only single faults are played."""
+    """Options of a run; without keepers and series only single faults are played.
+
+    ``keepers`` is the number of clients that reuse connections, ``series`` and
+    ``statements`` are the numbers of concurrent players of fault series and of server
+    directives, and ``returns`` restores the store from older copies.
+    """
 
     instances: int | None = None
     servers: int = 3
@@ -48,7 +53,7 @@
 
 
 class World:
-    """Everything of one run with one seed."""
+    """State of one run with one seed."""
 
     def __init__(self, seed: int, folder: Path, play: Play | None = None):
         self.seed = seed
@@ -66,14 +71,14 @@
         self.instances: list[Instance] = []
         self.servers: dict[str, Server] = {}
         self._nursery: trio.Nursery | None = None
-        # Every other seed plays instances in groups, whose readers ask the store.
+        # Every other seed runs instances in groups, whose readers query the store.
         self._mesh_limit = MAX_MESH_MEMBERS if seed % 2 else 1
         self._instance_count = self.play.instances or (3 if seed % 2 else 5)
         self._version = 1
         self._requests = 0
         self.faults_started_at = 0.0
         self.keys = ["k1", "k2", "k3", "k4"]
-        # Its own, so that the single faults of a seed stay the same.
+        # A separate generator, so that the single faults of a seed stay the same.
         self._series_rng = random.Random(f"series {seed}")
         self._limits: dict[str, Any] = {}
         self._timeout_ms: Any = ROUTE["timeout_ms"]
@@ -85,12 +90,12 @@
 
     @property
     def idle_limit(self) -> float:
-        """The newest idle limit, in seconds."""
+        """The idle timeout last configured, in seconds."""
         default = IngressLimits().idle_timeout
         return self._limits.get("idle_timeout_ms", default * 1000) / 1000
 
     async def run(self, seconds: float) -> list[str]:
-        """Play faults for some seconds, settle, and return what was broken."""
+        """Play faults for some seconds, await recovery, and return the violations."""
         async with trio.open_nursery() as nursery:
             await self._open(nursery)
             try:
@@ -159,7 +164,7 @@
                     continue
                 status, body = await answer_call(self.memory, request)
                 if self.memory.era != era:
-                    # Its connections end with the store.
+                    # The store's connections end when it is restored.
                     return
                 data = orjson.dumps(body)
                 await stream.send_all(make_answer(data, status=status, extra=head))
@@ -167,7 +172,7 @@
             return
 
     async def add_server(self) -> None:
-        """Add a server, behind a proxy and with an entry."""
+        """Add a server behind a proxy and write its entry to the store."""
         nursery = self._nursery
         assert nursery is not None
         server_id = f"s{len(self.servers)}"
@@ -204,23 +209,23 @@
         self.memory.put(OPERATOR_TABLE, "config", orjson.dumps(table))
 
     def rewrite_entries(self) -> None:
-        """Write what the operator and the servers wrote, as the store may lack it."""
+        """Write all configuration and server entries again; the store may lack them."""
         self._write_configuration()
         for server_id, entry in self._entries.items():
             self.memory.put(SERVERS_TABLE, server_id, entry)
 
     def remove_entry(self, server_id: str) -> None:
-        """Take a server that has left off the store's list."""
+        """Remove the entry of a server that has left from the store."""
         del self._entries[server_id]
         self.memory.put(SERVERS_TABLE, server_id, None)
 
     def set_idle_limit(self, limit_ms: int) -> None:
-        """Change the idle limit."""
+        """Change the idle timeout."""
         self._limits = {"idle_timeout_ms": limit_ms}
         self._write_configuration()
 
     def set_timeout(self, timeout_ms: int) -> None:
-        """Change the limit of all routes."""
+        """Change the timeout of all routes."""
         self._timeout_ms = timeout_ms
         self._write_configuration()
 
@@ -247,7 +252,7 @@
         return f"r{self._requests}"
 
     def note(self, outcome: Outcome, instance: Instance) -> None:
-        """Keep the end of a request for the checks."""
+        """Record the outcome of a request for the checks."""
         self.outcomes.append(outcome)
         self._note_answer(outcome, instance)
 
@@ -291,7 +296,7 @@
                 instance.start()
 
     async def _await_service(self) -> float:
-        """Return the share that is served, once it suffices or patience ends."""
+        """Return the share of requests served once it suffices or a timeout passes."""
         with trio.move_on_after(RECOVERY_SECONDS):
             while await self._measure_service() < LEAST_SERVED:
                 await trio.sleep(0.5)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with seeds that are known; ``python -m tests.soak`` plays others."""
+"""Short soak with fixed seeds; ``python -m tests.soak`` plays others."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from tests.soak.servers import Ledger, Run
 from tests.soak.world import Play, World
 
-# Seeds that once failed stay here, each with its cause:
-# 1: the stand-in's clock stood still, so that knowledge seemed old (stand-in mended).
-# 200: the play ended while an instance was being stopped, and nobody started it again
-#      (soak mended).
+# Seeds that guard against known failures, each with its cause:
+# 1: the stand-in's clock stood still, so that received data seemed outdated.
+# 200: the run ended while an instance was being stopped, and the instance was not
+#      started again.
 SEEDS = (1, 200)
 SECONDS = 5.0
-# Seeds of keeping clients and series of faults, each with the cause it shows:
-# 6004, 6005: a connection was ended by its idle limit in the step of the event loop in
-#       which its next request was read; the request was passed on and never answered.
-# 7022: an instance that heard no reader asked the store by a call that waited beyond
-#       the age at which keys are refused; 0.88 served after the faults.
+# Seeds with keep-alive clients and series of faults, each with the failure it shows:
+# 6004, 6005: the idle timeout closed a connection in the event loop iteration that
+#       read its next request; the request was forwarded and never answered.
+# 7022: an instance that received no updates from a reader queried the store with a
+#       call that waited beyond the age at which keys are refused; a share of 0.88 was
+#       served after the faults.
 KEEP_ALIVE_SEEDS = (6004, 6005, 7022)
 KEEP_ALIVE_SECONDS = 10.0
-# The store comes back from older copies; none of these has failed yet.
+# The store is restored from older copies.
 RESTORE_SEEDS = (9200,)
 RESTORES = Play(keepers=20, returns=True)
-# Servers name limits, ask for rest and leave; none of these has failed yet.
+# Servers announce limits, request backoffs and leave.
 DIRECTIVE_SEEDS = (9500, 9501)
 DIRECTIVES = Play(instances=5, servers=4, keepers=20, statements=2)
 KEEP_ALIVE = Play(instances=6, keepers=150, series=5)
